--- a/internal/forwarder/attempt.go
+++ b/internal/forwarder/attempt.go
@@ -10,8 +10,8 @@
 	"github.com/sirupsen/logrus"
 
 	"github.com/auburntray/auburntray/internal/cataloger"
-	"github.com/auburntray/auburntray/internal/chooser"
 	"github.com/auburntray/auburntray/internal/detector"
+	"github.com/auburntray/auburntray/internal/selector"
 )
 
 // maxTried bounds the targets that a call is tried at when they can't be reached.
@@ -25,7 +25,7 @@
 	// notRun says that the target provably did not run the call.
 	notRun bool
 	// outcome is what it says of the target.
-	outcome chooser.Outcome
+	outcome selector.Outcome
 	// answer is an answer that says that the target failed; the caller gets it
 	// when there is no better one.
 	answer *whole
@@ -76,17 +76,17 @@
 
 // countOut counts a call out at a target and returns what is now believed. Begun says that a
 // part of an answer is with the caller.
-func (f *Forwarder) countOut(t chooser.Choice, r result, begun bool) []chooser.Belief {
+func (f *Forwarder) countOut(t selector.Choice, r result, begun bool) []selector.HealthChange {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
 	f.chooser.Finish(time.Now(), t.Target, r.outcome)
 
 	if r.err != nil && !begun {
-		f.chooser.Unread(t)
+		f.chooser.RevertPlacements(t)
 	}
 
-	return f.chooser.Beliefs()
+	return f.chooser.HealthChanges()
 }
 
 // again says whether a call is sent to one more target.
@@ -169,7 +169,7 @@
 }
 
 // attempt sends a call to one target and relays its answer.
-func (f *Forwarder) attempt(c context.Context, x *exchange, t chooser.Choice) result {
+func (f *Forwarder) attempt(c context.Context, x *exchange, t selector.Choice) result {
 	c, s := f.tracer.Start(c, "attempt")
 	defer s.End()
 
@@ -190,7 +190,7 @@
 	}
 
 	if f.learnEnd(c, x, t.Target, r) {
-		r.outcome = chooser.Ended
+		r.outcome = selector.Crashed
 	}
 
 	x.mayHaveRun = x.mayHaveRun || !r.notRun
@@ -200,7 +200,7 @@
 	}
 
 	if x.request.Context().Err() != nil || timedOut(c, r.err) && f.facts.Stalled(x.sentAt) {
-		r.outcome = chooser.Neither
+		r.outcome = selector.Inconclusive
 	}
 
 	f.meter.Attempt(x.group, r.outcome.String())
@@ -218,16 +218,16 @@
 
 // tellBeliefs logs what this instance now believes of targets, with the fields of the call
 // that showed it, and tells other instances of those that it found gone itself.
-func (f *Forwarder) tellBeliefs(l []chooser.Belief, shown logrus.Fields) {
+func (f *Forwarder) tellBeliefs(l []selector.HealthChange, shown logrus.Fields) {
 	for _, b := range l {
 		e := "backInUse"
-		if b.Out {
+		if b.Excluded {
 			e = "leftAlone"
 		}
 
-		f.meter.Left(string(b.Cause), b.Out)
+		f.meter.Left(string(b.Cause), b.Excluded)
 
-		if b.Cause == chooser.TargetGone && b.Out && b.Source == chooser.Own {
+		if b.Cause == selector.TargetGone && b.Excluded && b.Source == selector.Own {
 			f.gone(b.Process)
 		}
 
@@ -236,7 +236,7 @@
 }
 
 // send sends a call and checks that the answer is one to it.
-func (f *Forwarder) send(c context.Context, x *exchange, t chooser.Choice) (*http.Response, Reply, result) {
+func (f *Forwarder) send(c context.Context, x *exchange, t selector.Choice) (*http.Response, Reply, result) {
 	h := forwarded(x.request.Header)
 	o := Orders{
 		Incarnation: t.Target.ID, Customer: x.customer, Priority: x.priority, Late: x.late,
@@ -255,7 +255,7 @@
 			return nil, Reply{}, result{err: err, notRun: true, outcome: f.unmade(c, t.Target, err)}
 		}
 
-		return nil, Reply{}, result{err: err, outcome: chooser.Bad}
+		return nil, Reply{}, result{err: err, outcome: selector.Failed}
 	}
 
 	p := f.dialect.Answer(a.Header, a.StatusCode)
@@ -266,15 +266,15 @@
 	if p.ID != x.call.ID && !p.NotRun {
 		_ = a.Body.Close()
 
-		return nil, p, result{err: errors.Mark(errors.Newf("the answer is to call %q", p.ID), errBroken), outcome: chooser.Bad}
+		return nil, p, result{err: errors.Mark(errors.Newf("the answer is to call %q", p.ID), errBroken), outcome: selector.Failed}
 	}
 
 	if p.NotRun {
 		_ = a.Body.Close()
 
-		w := chooser.Shed
+		w := selector.Shed
 		if p.Misdirected {
-			w = chooser.Gone
+			w = selector.Gone
 		}
 
 		return nil, p, result{err: errors.Newf("the target turned the call away with status %d", a.StatusCode), notRun: true, outcome: w}
@@ -284,15 +284,15 @@
 }
 
 // read notes that a target has read a call's prompt.
-func (f *Forwarder) read(t chooser.Choice) {
+func (f *Forwarder) read(t selector.Choice) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
-	f.chooser.Read(time.Now(), t)
+	f.chooser.ConfirmPlacements(time.Now(), t)
 }
 
 // begun notes how long a target took until its answer began.
-func (f *Forwarder) begun(x *exchange, t chooser.Choice) {
+func (f *Forwarder) begun(x *exchange, t selector.Choice) {
 	if x.rule.Latency <= 0 {
 		return
 	}
@@ -315,7 +315,7 @@
 	}
 
 	x.room.pace = float64(n.Sub(x.sentAt)) / float64(x.rule.Latency)
-	f.chooser.Begun(n, t.Target, x.room.pace)
+	f.chooser.ObservePace(n, t.Target, x.room.pace)
 }
 
 // hopHeaders concern one connection only.
--- a/internal/forwarder/cut.go
+++ b/internal/forwarder/cut.go
@@ -7,8 +7,8 @@
 
 	"github.com/sirupsen/logrus"
 
-	"github.com/auburntray/auburntray/internal/chooser"
 	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/selector"
 )
 
 // cutMost is how long an instance that is cut off asks for its callers to be sent
@@ -76,17 +76,17 @@
 	f.chooser.Start(b, t)
 	f.mu.Unlock()
 
-	o := chooser.Good
+	o := selector.Answered
 
 	n, err := f.client.dial(c, "tcp", t.Address.String())
 	if err == nil {
 		_ = n.Close() // Nothing was sent.
 	} else {
-		o = chooser.Unreachable
+		o = selector.Unreachable
 	}
 
 	if f.facts.Stalled(b) {
-		o = chooser.Neither
+		o = selector.Inconclusive
 	}
 
 	f.mu.Lock()
--- a/internal/forwarder/exchange.go
+++ b/internal/forwarder/exchange.go
@@ -10,9 +10,9 @@
 
 	"github.com/auburntray/auburntray/internal/admitter"
 	"github.com/auburntray/auburntray/internal/cataloger"
-	"github.com/auburntray/auburntray/internal/chooser"
 	"github.com/auburntray/auburntray/internal/digester"
 	"github.com/auburntray/auburntray/internal/hasher"
+	"github.com/auburntray/auburntray/internal/selector"
 )
 
 // exchange is one call on its way. Only the goroutine that serves it touches it.
@@ -36,14 +36,14 @@
 	trial func()
 
 	// shared are the beginnings of the prompt that other calls share.
-	shared []chooser.Prefix
+	shared []selector.Prefix
 	group  string
 	// tried are the IDs of the targets that were chosen; sent is how many of them
 	// the call was sent to.
 	tried []string
 	sent  int
 	// choice is the last choice of a target.
-	choice chooser.Choice
+	choice selector.Choice
 	// room is what the home of its target said to the last choice.
 	room room
 	// confined says that it goes to its customer's part of the targets only.
@@ -88,17 +88,17 @@
 // prefixes returns the hashes of the prompt's beginnings that other calls share,
 // the longest first. The last part belongs to the call alone, unless it is the
 // only one.
-func (x *exchange) prefixes() []chooser.Prefix {
+func (x *exchange) prefixes() []selector.Prefix {
 	p := x.call.Prompt.Parts
 
-	var o []chooser.Prefix
+	var o []selector.Prefix
 
 	k, n := hasher.Key(x.call.Prompt.Model), 0
 
 	for i := range max(len(p)-1, min(len(p), 1)) {
 		k = hasher.Mix(k, hasher.Key(p[i].ID))
 		n += p[i].Tokens
-		o = append(o, chooser.Prefix{Key: k, Tokens: n})
+		o = append(o, selector.Prefix{Key: k, Tokens: n})
 	}
 
 	slices.Reverse(o)
@@ -116,8 +116,8 @@
 	return hasher.Key(x.call.ID)
 }
 
-func (x *exchange) query(s Settings) chooser.Query {
-	q := chooser.Query{
+func (x *exchange) query(s Settings) selector.Query {
+	q := selector.Query{
 		Prefixes: x.shared, DataCentre: s.DataCentre, Excluded: x.tried, Draw: hasher.Key(x.call.ID),
 		Customer: hasher.Key(x.customer), Centres: x.centres(s.Regions),
 	}
@@ -194,7 +194,7 @@
 		l["load"] = int(x.choice.Load)
 		l["bound"] = int(x.choice.Bound)
 		l["usable"] = x.choice.Usable
-		l["held"] = x.choice.Held
+		l["held"] = x.choice.Cached
 		l["room"] = x.room.verdict.Outcome
 		l["counted"] = x.room.verdict.Calls
 	}
--- a/internal/forwarder/fake_test.go
+++ b/internal/forwarder/fake_test.go
@@ -21,10 +21,10 @@
 
 	"github.com/auburntray/auburntray/internal/budgeter"
 	"github.com/auburntray/auburntray/internal/cataloger"
-	"github.com/auburntray/auburntray/internal/chooser"
 	"github.com/auburntray/auburntray/internal/enroller"
 	"github.com/auburntray/auburntray/internal/forwarder"
 	"github.com/auburntray/auburntray/internal/meter"
+	"github.com/auburntray/auburntray/internal/selector"
 )
 
 // dialect is a way of speaking for the tests.
@@ -369,7 +369,7 @@
 	x, stop := forwarder.New(forwarder.Settings{
 		DataCentre: "dc0", Patience: time.Second, MaxBody: 1000, Regions: map[string]string{"dc0": "r0", "dc1": "r1"},
 	}, dialect{}, f,
-		noop.NewTracerProvider().Tracer(""), meter.New(), d, chooser.New(chooser.DefaultSettings()),
+		noop.NewTracerProvider().Tracer(""), meter.New(), d, selector.New(selector.DefaultSettings()),
 		budgeter.New(budgeter.Settings{Ratio: 0.2, Window: 10 * time.Second, Slack: 100}, time.Now()))
 	s := httptest.NewServer(x)
 
--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -19,10 +19,10 @@
 	"github.com/auburntray/auburntray/internal/admitter"
 	"github.com/auburntray/auburntray/internal/budgeter"
 	"github.com/auburntray/auburntray/internal/cataloger"
-	"github.com/auburntray/auburntray/internal/chooser"
 	"github.com/auburntray/auburntray/internal/confiner"
 	"github.com/auburntray/auburntray/internal/enroller"
 	"github.com/auburntray/auburntray/internal/meter"
+	"github.com/auburntray/auburntray/internal/selector"
 	"github.com/auburntray/auburntray/internal/throttler"
 )
 
@@ -72,7 +72,7 @@
 	turned *rate.Limiter
 
 	mu       sync.Mutex
-	chooser  *chooser.Chooser
+	chooser  *selector.Selector
 	budgeter *budgeter.Budgeter
 	admitter *admitter.Admitter
 	// confiner says when customers keep to a part of the targets, and confined in which groups
@@ -121,7 +121,7 @@
 
 // New returns a Forwarder and its clean-up function, which closes the kept
 // connections to targets.
-func New(s Settings, d Dialect, f Facts, t trace.Tracer, m Meter, x Dialer, c *chooser.Chooser, b *budgeter.Budgeter) (*Forwarder, func()) {
+func New(s Settings, d Dialect, f Facts, t trace.Tracer, m Meter, x Dialer, c *selector.Selector, b *budgeter.Budgeter) (*Forwarder, func()) {
 	k := newClient(x)
 
 	return &Forwarder{
@@ -278,37 +278,37 @@
 // are not on it, and the connections that are kept to them.
 func (f *Forwarder) Forget(r *enroller.Roster) {
 	f.mu.Lock()
-	f.chooser.Forget(time.Now(), r)
+	f.chooser.ApplyRegistry(time.Now(), r)
 	f.mu.Unlock()
 
 	f.client.kept.forget(r)
 }
 
 // Learn takes what another instance told.
-func (f *Forwarder) Learn(n chooser.News) {
+func (f *Forwarder) Learn(n selector.Update) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
-	f.chooser.Learn(time.Now(), f.facts.Roster(), n)
+	f.chooser.ApplyUpdate(time.Now(), f.facts.Roster(), n)
 }
 
 // Views returns the targets as this instance sees them.
-func (f *Forwarder) Views() []chooser.View {
+func (f *Forwarder) Views() []selector.View {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
 	return f.chooser.Views(time.Now(), f.facts.Roster())
 }
 
-// LearnGone takes another instance's word that processes of targets are gone.
+// ReportGone takes another instance's word that processes of targets are gone.
 func (f *Forwarder) LearnGone(l []enroller.Process) {
 	f.mu.Lock()
 
 	for _, p := range l {
-		f.chooser.LearnGone(time.Now(), f.facts.Roster(), p)
+		f.chooser.ReportGone(time.Now(), f.facts.Roster(), p)
 	}
 
-	b := f.chooser.Beliefs()
+	b := f.chooser.HealthChanges()
 	f.mu.Unlock()
 
 	f.tellBeliefs(b, nil)
@@ -324,7 +324,7 @@
 func (f *Forwarder) LearnLeaving(l []enroller.Process) {
 	for _, p := range l {
 		if f.facts.Leave(p) {
-			f.logLeaving(p, chooser.Peer)
+			f.logLeaving(p, selector.Peer)
 		}
 	}
 }
@@ -336,9 +336,9 @@
 }
 
 // News returns what other instances should be told.
-func (f *Forwarder) News() chooser.News {
+func (f *Forwarder) News() selector.Update {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
-	return f.chooser.News()
+	return f.chooser.PendingUpdate()
 }
--- a/internal/forwarder/heed.go
+++ b/internal/forwarder/heed.go
@@ -5,8 +5,8 @@
 
 	"github.com/sirupsen/logrus"
 
-	"github.com/auburntray/auburntray/internal/chooser"
 	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/selector"
 )
 
 // heed takes what a target says of itself with the head of an answer, whatever becomes of the call.
@@ -28,7 +28,7 @@
 
 	switch n := time.Now(); {
 	case p.Rest > 0:
-		f.chooser.Rest(n, t, p.Rest)
+		f.chooser.StartBackoff(n, t, p.Rest)
 	case !p.NotRun:
 		f.chooser.Answered(n, t)
 	}
@@ -44,7 +44,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
-	return !f.chooser.Resting(time.Now(), t)
+	return !f.chooser.InBackoff(time.Now(), t)
 }
 
 // rest returns when the first target takes calls again where all that might serve a call have asked
@@ -53,7 +53,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
-	if d, ok := f.chooser.Rests(time.Now(), r, x.group, x.query(f.settings)); ok {
+	if d, ok := f.chooser.GroupBackoff(time.Now(), r, x.group, x.query(f.settings)); ok {
 		return d
 	}
 
@@ -69,13 +69,13 @@
 	}
 
 	if p := t.Process(); f.facts.Leave(p) {
-		f.logLeaving(p, chooser.Own)
+		f.logLeaving(p, selector.Own)
 		f.leaving(p)
 	}
 }
 
 // logLeaving notes that a target is left since its process said that it leaves.
-func (f *Forwarder) logLeaving(p enroller.Process, s chooser.Source) {
+func (f *Forwarder) logLeaving(p enroller.Process, s selector.Source) {
 	f.meter.Left("targetLeaves", true)
 	logrus.WithFields(logrus.Fields{"event": "targetLeaves", "target": p.ID, "source": s}).Info()
 }
--- a/internal/forwarder/process_test.go
+++ b/internal/forwarder/process_test.go
@@ -11,8 +11,8 @@
 
 	"github.com/matryer/is"
 
-	"github.com/auburntray/auburntray/internal/chooser"
 	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/selector"
 )
 
 // leftAlone returns the IDs of the targets that are left alone.
@@ -20,7 +20,7 @@
 	o := []string{}
 
 	for _, v := range g.forwarder.Views() {
-		if v.Left {
+		if v.Excluded {
 			o = append(o, v.Target.ID)
 		}
 	}
@@ -106,7 +106,7 @@
 			is.Equal(g.forwarder.Views()[0].Load, 1.0)
 			g.list(g.restarted("t0"))
 
-			fresh := []chooser.View{{Target: g.facts.Roster().Known["t0"]}, {Target: g.facts.Roster().Known["t1"]}}
+			fresh := []selector.View{{Target: g.facts.Roster().Known["t0"]}, {Target: g.facts.Roster().Known["t1"]}}
 			is.Equal(g.forwarder.Views(), fresh) // Nothing runs at the new one.
 
 			close(restarted)
--- a/internal/forwarder/quarantine.go
+++ b/internal/forwarder/quarantine.go
@@ -9,11 +9,11 @@
 	"github.com/cockroachdb/errors"
 	"github.com/sirupsen/logrus"
 
-	"github.com/auburntray/auburntray/internal/chooser"
 	"github.com/auburntray/auburntray/internal/digester"
 	"github.com/auburntray/auburntray/internal/enroller"
 	"github.com/auburntray/auburntray/internal/prober"
 	"github.com/auburntray/auburntray/internal/quarantiner"
+	"github.com/auburntray/auburntray/internal/selector"
 )
 
 // Quarantine remembers under which calls targets have ended, at all instances; a warner.Warner
@@ -143,10 +143,10 @@
 
 // unmade returns what a connection that was not made says of its target: whether it has ended, or
 // can't be reached.
-func (f *Forwarder) unmade(c context.Context, t *enroller.Target, err error) chooser.Outcome {
+func (f *Forwarder) unmade(c context.Context, t *enroller.Target, err error) selector.Outcome {
 	if prober.Refused(err) && f.client.prober.Reached(c, f.witnesses(t)) {
-		return chooser.Ended
+		return selector.Crashed
 	}
 
-	return chooser.Unreachable
+	return selector.Unreachable
 }
--- a/internal/forwarder/room.go
+++ b/internal/forwarder/room.go
@@ -4,10 +4,10 @@
 	"context"
 	"time"
 
-	"github.com/auburntray/auburntray/internal/chooser"
 	"github.com/auburntray/auburntray/internal/enroller"
 	"github.com/auburntray/auburntray/internal/reserver"
 	"github.com/auburntray/auburntray/internal/seeker"
+	"github.com/auburntray/auburntray/internal/selector"
 	"github.com/auburntray/auburntray/internal/tallier"
 )
 
@@ -39,7 +39,7 @@
 }
 
 // end ends the reservation with how the call ended. Ending it again does nothing.
-func (r *room) end(o chooser.Outcome) {
+func (r *room) end(o selector.Outcome) {
 	if r.release != nil {
 		r.release(sign(o), r.pace)
 		r.release = nil
@@ -47,15 +47,15 @@
 }
 
 // sign returns what an outcome tells the home of a target.
-func sign(o chooser.Outcome) tallier.Sign {
+func sign(o selector.Outcome) tallier.Sign {
 	switch o {
-	case chooser.Good, chooser.Shed:
+	case selector.Answered, selector.Shed:
 		return tallier.Well
-	case chooser.Bad:
+	case selector.Failed:
 		return tallier.Failed
-	case chooser.Unreachable, chooser.Ended:
+	case selector.Unreachable, selector.Crashed:
 		return tallier.Unreached
-	case chooser.Gone, chooser.Neither:
+	case selector.Gone, selector.Inconclusive:
 		return tallier.Nothing
 	default:
 		return tallier.Nothing
@@ -67,7 +67,7 @@
 //
 // What is known here of a target may be a second old. When its home says that it is full, or
 // that it is to be left alone, that is noted and another one is chosen.
-func (f *Forwarder) choose(c context.Context, x *exchange) (chooser.Choice, bool) {
+func (f *Forwarder) choose(c context.Context, x *exchange) (selector.Choice, bool) {
 	s := seeker.Seeker{Prompt: len(x.shared) > 0}
 
 	for {
@@ -100,7 +100,7 @@
 }
 
 // pick chooses by what is known here, after so many targets were full, and counts the call here.
-func (f *Forwarder) pick(x *exchange, declined int) (chooser.Choice, bool) {
+func (f *Forwarder) pick(x *exchange, declined int) (selector.Choice, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
@@ -110,10 +110,10 @@
 	x.confined = f.confine(n, x.group, len(r.Groups[x.group]))
 
 	q := x.query(f.settings)
-	q.Declined, q.Confined = declined, x.confined
+	q.Declined, q.Sharded = declined, x.confined
 
 	t, ok := f.chooser.Choose(n, r, x.group, q)
-	x.cold, x.resting = t.Cold, t.Resting
+	x.cold, x.resting = t.Cold, t.BackingOff
 
 	if ok {
 		f.chooser.Start(n, t.Target)
@@ -124,7 +124,7 @@
 
 // reserve asks the home of a target for room. A target that does not say how many calls it
 // runs has no bound that a home could keep.
-func (f *Forwarder) reserve(c context.Context, x *exchange, t chooser.Choice, s *seeker.Seeker) {
+func (f *Forwarder) reserve(c context.Context, x *exchange, t selector.Choice, s *seeker.Seeker) {
 	x.room = room{}
 
 	if f.homes == nil || t.Target.Slots == 0 {
@@ -132,20 +132,20 @@
 	}
 
 	x.room.verdict, x.room.release = f.homes.Reserve(c, t.Target, tallier.Request{
-		Most: s.Most(t.Bound), Until: x.deadline, Usual: t.Usual, Anyway: s.Anyway(),
+		Most: s.Most(t.Bound), Until: x.deadline, Usual: t.MedianPace, Anyway: s.Anyway(),
 	})
 	f.meter.Reserved(x.group, x.room.verdict.Outcome.String())
 
 	if p := x.room.verdict.Pace; p > 0 {
 		f.mu.Lock()
-		f.chooser.LearnPace(t.Target, p)
+		f.chooser.ReportPace(t.Target, p)
 		f.mu.Unlock()
 	}
 }
 
 // withdraw takes back a choice of a target that takes calls no more.
-func (f *Forwarder) withdraw(x *exchange, t chooser.Choice) {
-	x.room.end(chooser.Neither)
+func (f *Forwarder) withdraw(x *exchange, t selector.Choice) {
+	x.room.end(selector.Inconclusive)
 
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -153,14 +153,14 @@
 	f.chooser.Withdraw(time.Now(), t)
 }
 
-func (f *Forwarder) decline(t chooser.Choice, v tallier.Verdict) {
+func (f *Forwarder) decline(t selector.Choice, v tallier.Verdict) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
 	n := time.Now()
 
 	if v.Outcome == tallier.Left {
-		f.chooser.Leave(n, t)
+		f.chooser.DeclineUnhealthy(n, t)
 	} else {
 		f.chooser.Decline(n, t, v.Calls)
 	}
@@ -169,7 +169,7 @@
 // report takes what a target said of its load, and tells its home when that counts too few.
 func (f *Forwarder) report(x *exchange, t *enroller.Target, p Reply) {
 	f.mu.Lock()
-	f.chooser.Report(time.Now(), t, chooser.Report{Running: p.Running, Waiting: p.Waiting, Slots: p.Slots})
+	f.chooser.ReportLoad(time.Now(), t, selector.LoadReport{Running: p.Running, Waiting: p.Waiting, Slots: p.Slots})
 	f.mu.Unlock()
 
 	if n := p.Running + p.Waiting; x.room.verdict.Outcome == tallier.Granted && n > x.room.verdict.Calls+driftMost {
--- a/internal/forwarder/stream.go
+++ b/internal/forwarder/stream.go
@@ -9,7 +9,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/auburntray/auburntray/internal/chooser"
+	"github.com/auburntray/auburntray/internal/selector"
 	"github.com/auburntray/auburntray/internal/splitter"
 )
 
@@ -18,7 +18,7 @@
 const pauseFactor = 4
 
 // stream makes an attempt whose answer is passed on event by event.
-func (f *Forwarder) stream(c context.Context, stop context.CancelCauseFunc, x *exchange, t chooser.Choice) result {
+func (f *Forwarder) stream(c context.Context, stop context.CancelCauseFunc, x *exchange, t selector.Choice) result {
 	group := x.group
 
 	g := newGuard(func() { f.leaveSlow(t, group, stop) })
@@ -46,11 +46,11 @@
 		}
 
 		if err != nil {
-			return result{err: errors.Mark(err, errBroken), outcome: chooser.Bad}
+			return result{err: errors.Mark(err, errBroken), outcome: selector.Failed}
 		}
 
 		if !follows(x.lastEvent, id) {
-			return result{err: errors.Mark(errors.Newf("event %q came after %q", id, x.lastEvent), errBroken), outcome: chooser.Bad}
+			return result{err: errors.Mark(errors.Newf("event %q came after %q", id, x.lastEvent), errBroken), outcome: selector.Failed}
 		}
 
 		if first {
@@ -65,7 +65,7 @@
 		x.pass(time.Now())
 
 		if _, err := x.writer.Write(e); err != nil {
-			return result{err: errors.Mark(err, errCallerLeft), outcome: chooser.Neither}
+			return result{err: errors.Mark(err, errCallerLeft), outcome: selector.Inconclusive}
 		}
 
 		x.lastEvent = id
@@ -82,13 +82,13 @@
 func (f *Forwarder) failure(a *http.Response) result {
 	b, err := io.ReadAll(io.LimitReader(a.Body, maxAnswer))
 	if err != nil || a.StatusCode < http.StatusMultipleChoices {
-		return result{err: errors.Mark(errors.Newf("status %d without a proof or an end", a.StatusCode), errBroken), outcome: chooser.Bad}
+		return result{err: errors.Mark(errors.Newf("status %d without a proof or an end", a.StatusCode), errBroken), outcome: selector.Failed}
 	}
 
 	return result{
 		err:     errors.Newf("the target answered with status %d", a.StatusCode),
 		answer:  &whole{status: a.StatusCode, header: a.Header, body: b},
-		outcome: chooser.Bad,
+		outcome: selector.Failed,
 	}
 }
 
--- a/internal/forwarder/whole.go
+++ b/internal/forwarder/whole.go
@@ -10,7 +10,7 @@
 	"github.com/cockroachdb/errors"
 
 	"github.com/auburntray/auburntray/internal/cataloger"
-	"github.com/auburntray/auburntray/internal/chooser"
+	"github.com/auburntray/auburntray/internal/selector"
 )
 
 const (
@@ -46,7 +46,7 @@
 
 // whole makes an attempt whose answer is read whole before anything of it is
 // passed on, so that one that breaks off can be asked for again.
-func (f *Forwarder) whole(c context.Context, stop context.CancelCauseFunc, x *exchange, t chooser.Choice) result {
+func (f *Forwarder) whole(c context.Context, stop context.CancelCauseFunc, x *exchange, t selector.Choice) result {
 	if d := f.firstWait(x); d > 0 {
 		group := x.group
 
@@ -67,17 +67,17 @@
 	}
 
 	if err != nil {
-		return result{err: errors.Mark(err, errBroken), outcome: chooser.Bad}
+		return result{err: errors.Mark(err, errBroken), outcome: selector.Failed}
 	}
 
 	o := &whole{status: a.StatusCode, header: a.Header, body: b}
 
 	if a.StatusCode >= http.StatusInternalServerError {
-		return result{err: errors.Newf("the target answered with status %d", a.StatusCode), answer: o, outcome: chooser.Bad}
+		return result{err: errors.Newf("the target answered with status %d", a.StatusCode), answer: o, outcome: selector.Failed}
 	}
 
 	if a.StatusCode < http.StatusMultipleChoices && !p.Sealed {
-		return result{err: errors.Mark(errors.New("the answer has no proof that a target made it"), errBroken), outcome: chooser.Bad}
+		return result{err: errors.Mark(errors.New("the answer has no proof that a target made it"), errBroken), outcome: selector.Failed}
 	}
 
 	f.begun(x, t)
@@ -106,7 +106,7 @@
 
 // leaveSlow ends an attempt that takes too long, if the call can go to another target.
 // Where it can't, an answer that is late is better than none. It is called by a timer.
-func (f *Forwarder) leaveSlow(t chooser.Choice, group string, stop context.CancelCauseFunc) {
+func (f *Forwarder) leaveSlow(t selector.Choice, group string, stop context.CancelCauseFunc) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
--- a/internal/gatekeeper/construct.go
+++ b/internal/gatekeeper/construct.go
@@ -10,7 +10,6 @@
 	"go.uber.org/fx/fxevent"
 
 	"github.com/auburntray/auburntray/internal/budgeter"
-	"github.com/auburntray/auburntray/internal/chooser"
 	"github.com/auburntray/auburntray/internal/drainer"
 	"github.com/auburntray/auburntray/internal/enroller"
 	"github.com/auburntray/auburntray/internal/forwarder"
@@ -21,6 +20,7 @@
 	"github.com/auburntray/auburntray/internal/quarantiner"
 	"github.com/auburntray/auburntray/internal/repeater"
 	"github.com/auburntray/auburntray/internal/reserver"
+	"github.com/auburntray/auburntray/internal/selector"
 	"github.com/auburntray/auburntray/internal/throttler"
 	"github.com/auburntray/auburntray/internal/tracer"
 	"github.com/auburntray/auburntray/internal/warner"
@@ -123,10 +123,10 @@
 // longer than most cuts last.
 const sharesStandFor = time.Hour
 
-func newChooser(s Settings, j *joiner.Joiner) *chooser.Chooser {
+func newChooser(s Settings, j *joiner.Joiner) *selector.Selector {
 	b := time.Now()
 	p := &peak{count: func() int { return max(len(j.Live()), len(j.Seeds())) }, lasts: sharesStandFor}
-	c := chooser.New(chooser.DefaultSettings().Within(s.MostLoad))
+	c := selector.New(selector.DefaultSettings().WithMaxFactor(s.MostLoad))
 	c.Throttle(s.Cold, func() throttler.Fleet {
 		o := throttler.Fleet{Self: j.Self().ID, Most: p.value(), Settled: time.Since(b) >= settledAfter}
 		for _, m := range j.Live() {
--- a/internal/gatekeeper/evacuation_sink_test.go
+++ b/internal/gatekeeper/evacuation_sink_test.go
@@ -12,8 +12,8 @@
 	"github.com/matryer/is"
 
 	"github.com/auburntray/auburntray/internal/cataloger"
-	"github.com/auburntray/auburntray/internal/chooser"
 	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/selector"
 	"github.com/auburntray/auburntray/internal/standin/hearer"
 	"github.com/auburntray/auburntray/internal/watcher"
 	"github.com/auburntray/auburntray/internal/wire"
@@ -175,8 +175,8 @@
 
 func (r running) Running(centre string) int { return r[centre] }
 
-func (r running) Views() []chooser.View {
-	return []chooser.View{{Target: &enroller.Target{DataCentre: "a"}, Load: 2.6}, {Target: &enroller.Target{DataCentre: "b"}, Load: 9}}
+func (r running) Views() []selector.View {
+	return []selector.View{{Target: &enroller.Target{DataCentre: "a"}, Load: 2.6}, {Target: &enroller.Target{DataCentre: "b"}, Load: 9}}
 }
 
 // Guards against an operator who can't see when a data centre may be switched off.
--- a/internal/gatekeeper/evacuations.go
+++ b/internal/gatekeeper/evacuations.go
@@ -11,7 +11,7 @@
 	"github.com/sirupsen/logrus"
 	"github.com/tinylib/msgp/msgp"
 
-	"github.com/auburntray/auburntray/internal/chooser"
+	"github.com/auburntray/auburntray/internal/selector"
 	"github.com/auburntray/auburntray/internal/wire"
 )
 
@@ -22,7 +22,7 @@
 type work interface {
 	// Running returns how many calls this instance has at the targets of a data centre.
 	Running(centre string) int
-	Views() []chooser.View
+	Views() []selector.View
 }
 
 // evacuations tells operators what still runs in evacuated data centres.
--- a/internal/gatekeeper/metrics.go
+++ b/internal/gatekeeper/metrics.go
@@ -26,7 +26,7 @@
 	m.Loads(func() []meter.Load {
 		var o []meter.Load
 		for _, v := range g.forwarder.Views() {
-			o = append(o, meter.Load{Target: v.Target.ID, Group: v.Target.Group, Calls: v.Load, Left: v.Left})
+			o = append(o, meter.Load{Target: v.Target.ID, Group: v.Target.Group, Calls: v.Load, Left: v.Excluded})
 		}
 
 		return o
--- a/internal/granter/granter.go
+++ b/internal/granter/granter.go
@@ -11,7 +11,7 @@
 	"github.com/auburntray/auburntray/internal/picker"
 	"github.com/auburntray/auburntray/internal/placer"
 	"github.com/auburntray/auburntray/internal/sharer"
-	"github.com/auburntray/auburntray/internal/sparer"
+	"github.com/auburntray/auburntray/internal/suppressor"
 	"github.com/auburntray/auburntray/internal/tracker"
 )
 
@@ -42,7 +42,7 @@
 	sharer   *sharer.Sharer
 	ejector  *ejector.Ejector[uint32]
 	tracker  *tracker.Tracker
-	sparer   *sparer.Sparer[uint32]
+	sparer   *suppressor.Suppressor[uint32]
 	window   time.Time
 	others   []other
 	// changed are the chats whose place is new, and scanned how far the table
@@ -65,7 +65,7 @@
 		sharer:   sharer.New(),
 		ejector:  ejector.New[uint32](s.Ejector),
 		tracker:  tracker.New(),
-		sparer:   sparer.New[uint32](),
+		sparer:   suppressor.New[uint32](),
 	}
 }
 
@@ -203,7 +203,7 @@
 // entry, as all of them ask here.
 func (g *Granter) Rest(now time.Time, t uint32, d time.Duration) {
 	if _, ok := g.byID[t]; ok {
-		g.sparer.Rest(now, t, d)
+		g.sparer.StartBackoff(now, t, d)
 	}
 }
 
@@ -290,7 +290,7 @@
 	var o []uint32
 
 	for _, t := range g.targets {
-		if t.reportedAt.Before(since) && !g.sparer.Resting(now, t.ID) {
+		if t.reportedAt.Before(since) && !g.sparer.InBackoff(now, t.ID) {
 			o = append(o, t.ID)
 		}
 	}
--- a/internal/informer/informer.go
+++ b/internal/informer/informer.go
@@ -14,8 +14,8 @@
 	"github.com/cockroachdb/errors"
 	"github.com/tinylib/msgp/msgp"
 
-	"github.com/auburntray/auburntray/internal/chooser"
 	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/selector"
 	"github.com/auburntray/auburntray/internal/spreader"
 	"github.com/auburntray/auburntray/internal/wire"
 )
@@ -38,9 +38,9 @@
 
 // Knowledge is what this instance knows of targets.
 type Knowledge interface {
-	News() chooser.News
-	Learn(n chooser.News)
-	// LearnGone takes that processes are gone.
+	News() selector.Update
+	Learn(n selector.Update)
+	// ReportGone takes that processes are gone.
 	LearnGone(l []enroller.Process)
 	// LearnLeaving takes that processes said that they leave.
 	LearnLeaving(l []enroller.Process)
@@ -82,14 +82,14 @@
 
 	b := time.Now()
 
-	var n chooser.News
+	var n selector.Update
 
 	for _, h := range w.Holders {
-		n.Places = append(n.Places, chooser.Place{Key: h.Key, Target: enroller.Name(h.Target)})
+		n.Placements = append(n.Placements, selector.Placement{Key: h.Key, Target: enroller.Name(h.Target)})
 	}
 
 	for _, l := range w.Loads {
-		n.Loads = append(n.Loads, chooser.Load{
+		n.Loads = append(n.Loads, selector.TargetLoad{
 			Target: enroller.Name(l.Target), Calls: int(l.Calls), At: b.Add(-time.Duration(l.AgeMs) * time.Millisecond),
 		})
 	}
@@ -175,7 +175,7 @@
 // when it is used later.
 func (i *Informer) tell(c context.Context) {
 	n := i.knowledge.News()
-	if len(n.Places) == 0 && len(n.Loads) == 0 {
+	if len(n.Placements) == 0 && len(n.Loads) == 0 {
 		return
 	}
 
@@ -183,7 +183,7 @@
 
 	var w wire.News
 
-	for _, p := range n.Places[:min(len(n.Places), maxList)] {
+	for _, p := range n.Placements[:min(len(n.Placements), maxList)] {
 		w.Holders = append(w.Holders, wire.Holder{Key: p.Key, Target: uint32(p.Target)})
 	}
 
--- a/internal/informer/informer_test.go
+++ b/internal/informer/informer_test.go
@@ -15,10 +15,10 @@
 	"github.com/sirupsen/logrus"
 	"github.com/tinylib/msgp/msgp"
 
-	"github.com/auburntray/auburntray/internal/chooser"
 	"github.com/auburntray/auburntray/internal/enroller"
 	"github.com/auburntray/auburntray/internal/gossiper"
 	"github.com/auburntray/auburntray/internal/informer"
+	"github.com/auburntray/auburntray/internal/selector"
 	"github.com/auburntray/auburntray/internal/wire"
 )
 
@@ -28,27 +28,27 @@
 // knowledge is what an instance of the tests knows.
 type knowledge struct {
 	mu           sync.Mutex
-	news, learnt chooser.News
+	news, learnt selector.Update
 	// always makes the news come again and again.
 	always bool
 	gone   []enroller.Process
 	leave  []enroller.Process
 }
 
-func (k *knowledge) News() chooser.News {
+func (k *knowledge) News() selector.Update {
 	n := k.news
 	if !k.always {
-		k.news = chooser.News{}
+		k.news = selector.Update{}
 	}
 
 	return n
 }
 
-func (k *knowledge) Learn(n chooser.News) {
+func (k *knowledge) Learn(n selector.Update) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 
-	k.learnt.Places = append(k.learnt.Places, n.Places...)
+	k.learnt.Placements = append(k.learnt.Placements, n.Placements...)
 	k.learnt.Loads = append(k.learnt.Loads, n.Loads...)
 }
 
@@ -149,9 +149,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := build(3)
-		f.known[0].news = chooser.News{
-			Places: []chooser.Place{{Key: 7, Target: 9}},
-			Loads:  []chooser.Load{{Target: 9, Calls: 5, At: time.Now().Add(-time.Second)}},
+		f.known[0].news = selector.Update{
+			Placements: []selector.Placement{{Key: 7, Target: 9}},
+			Loads:      []selector.TargetLoad{{Target: 9, Calls: 5, At: time.Now().Add(-time.Second)}},
 		}
 
 		c, stop := context.WithTimeout(t.Context(), 300*time.Millisecond)
@@ -161,12 +161,12 @@
 		synctest.Wait()
 
 		for _, k := range f.known[1:] {
-			is.Equal(k.learnt.Places, []chooser.Place{{Key: 7, Target: 9}})
+			is.Equal(k.learnt.Placements, []selector.Placement{{Key: 7, Target: 9}})
 			is.Equal(k.learnt.Loads[0].Calls, 5)
 			is.True(time.Since(k.learnt.Loads[0].At) >= time.Second) // Told late is not heard late.
 		}
 
-		is.Equal(len(f.known[0].learnt.Places), 0)
+		is.Equal(len(f.known[0].learnt.Placements), 0)
 	})
 }
 
@@ -250,7 +250,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				f := buildIn(x.instances, x.centres...)
-				f.known[0].news = chooser.News{Places: []chooser.Place{{Key: 7, Target: 9}}}
+				f.known[0].news = selector.Update{Placements: []selector.Placement{{Key: 7, Target: 9}}}
 
 				c, stop := context.WithTimeout(t.Context(), 10*time.Second)
 				defer stop()
@@ -259,7 +259,7 @@
 				synctest.Wait()
 
 				for n, k := range f.known {
-					is.Equal(len(k.learnt.Places) == 1, n != 0) // Once each, and none goes round.
+					is.Equal(len(k.learnt.Placements) == 1, n != 0) // Once each, and none goes round.
 				}
 
 				is.Equal(f.crossed.Load(), x.crossed)
@@ -285,7 +285,7 @@
 				is := is.New(t)
 				f := buildIn(20, "a", "b")
 				f.known[0].always = true
-				f.known[0].news.Places = []chooser.Place{{Key: 7, Target: 9}}
+				f.known[0].news.Placements = []selector.Placement{{Key: 7, Target: 9}}
 
 				away := map[int]bool{}
 				for _, n := range x.dead {
@@ -303,7 +303,7 @@
 				synctest.Wait()
 
 				for n, k := range f.known {
-					is.Equal(len(k.learnt.Places) > 0, n != 0 && !away[n])
+					is.Equal(len(k.learnt.Placements) > 0, n != 0 && !away[n])
 				}
 			})
 		})
@@ -331,7 +331,7 @@
 		defer stop()
 
 		f.known[0].always = true
-		f.known[0].news.Places = []chooser.Place{{Key: 1, Target: 1}}
+		f.known[0].news.Placements = []selector.Placement{{Key: 1, Target: 1}}
 
 		f.instances[0].Run(c)
 		synctest.Wait()
--- a/internal/chooser/bench_test.go
+++ b/internal/selector/bench_test.go
@@ -1,18 +1,18 @@
-package chooser_test
+package selector_test
 
 import (
 	"testing"
 	"time"
 
-	"github.com/auburntray/auburntray/internal/chooser"
+	"github.com/auburntray/auburntray/internal/selector"
 )
 
-// BenchmarkChoose is the cost of one choice and its end, by the number of targets.
+// BenchmarkChoose measures one choice and the end of its call, by the number of targets.
 func BenchmarkChoose(b *testing.B) {
 	for name, n := range map[string]int{"9": 9, "60": 60, "600": 600} {
 		b.Run(name, func(b *testing.B) {
-			r := roster(n, "a", "b", "c", "d")
-			c := chooser.New(chooser.DefaultSettings())
+			r := registry(n, "a", "b", "c", "d")
+			c := selector.New(selector.DefaultSettings())
 			now := time.Unix(0, 0)
 			k := uint64(0)
 
@@ -22,8 +22,8 @@
 				k++
 				now = now.Add(time.Millisecond)
 				o := choose(c, now, r, query(k%1000+1))
-				c.Begun(now, o.Target, 0.1)
-				c.Finish(now, o.Target, chooser.Good)
+				c.ObservePace(now, o.Target, 0.1)
+				c.Finish(now, o.Target, selector.Answered)
 			}
 		})
 	}
--- /dev/null
+++ b/internal/selector/candidate.go
@@ -0,0 +1,224 @@
+package selector
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/hasher"
+)
+
+// candidate is a target that a call may be sent to, with values that the selection needs several times.
+type candidate struct {
+	target *enroller.Target
+	load   float64
+	// shed reports whether the target refused a call within shedAvoidance.
+	shed bool
+	// cold reports whether the target can only serve a low rate of calls.
+	cold bool
+}
+
+// candidates returns the targets of a list that the call may be sent to and was not sent to before.
+func (c *Selector) candidates(now time.Time, r *enroller.Roster, l []*enroller.Target, q *Query) []candidate {
+	o := make([]candidate, 0, len(l))
+
+	for _, t := range l {
+		if !q.allows(t) || slices.Contains(q.Excluded, t.ID) {
+			continue
+		}
+
+		x := candidate{target: t, cold: q.cold(now, r, t)}
+
+		if s, ok := c.states[t.Key()]; ok {
+			x.load = s.load(now)
+			x.shed = now.Sub(s.shedAt) < shedAvoidance
+		}
+
+		o = append(o, x)
+	}
+
+	return o
+}
+
+// filter returns the candidates that satisfy a predicate. It copies the list only if one is removed, which is
+// rare.
+func filter(l []candidate, f func(candidate) bool) []candidate {
+	i := slices.IndexFunc(l, func(x candidate) bool { return !f(x) })
+	if i < 0 {
+		return l
+	}
+
+	o := append(make([]candidate, 0, len(l)), l[:i]...)
+
+	for _, x := range l[i+1:] {
+		if f(x) {
+			o = append(o, x)
+		}
+	}
+
+	return o
+}
+
+// filterOrAll returns the candidates that satisfy a predicate, or all if none does.
+func filterOrAll(l []candidate, f func(candidate) bool) []candidate {
+	if o := filter(l, f); len(o) > 0 {
+		return o
+	}
+
+	return l
+}
+
+// bound returns how many calls a target of a group may have. It is derived from the mean load of the targets
+// that are reachable and of those in evacuated data centres. Targets that are excluded for another reason
+// count too: without them, the others would be filled to a multiple of their own mean instead of the mean of
+// the group.
+//
+// If so much of the group is evacuated that all other targets exceed that bound, they are bounded by their own
+// mean, so that prompts remain on their targets.
+func (s Settings) bound(reached, closed []candidate) float64 {
+	n := totalLoad(reached) + 1
+	all := (n + totalLoad(closed)) / float64(len(reached)+len(closed))
+
+	return max(s.Factor*all, min(s.Factor, minFactor)*n/float64(len(reached))) + s.Slack
+}
+
+func totalLoad(l []candidate) float64 {
+	n := 0.0
+	for _, x := range l {
+		n += x.load
+	}
+
+	return n
+}
+
+// pickBounded returns the first candidate in the rendezvous order of the key whose load is within the bound:
+// first among those that have the prompt cached, then among all. The order is the same at every instance, so
+// calls that exceed the bound of one target reach the same next target, which has the prompt cached from
+// earlier ones. If no candidate is within the bound, it returns the least loaded; of several, the first in the
+// order.
+func pickBounded(l []candidate, bound float64, key uint64, holders []enroller.Key) candidate {
+	var o, h, b ranked
+
+	for _, x := range l {
+		r := ranked{candidate: x, score: hasher.Score(key, x.target.Rank(), 1)}
+
+		if x.load+1 <= bound {
+			o = o.higher(r)
+
+			if slices.Contains(holders, x.target.Key()) {
+				h = h.higher(r)
+			}
+		}
+
+		if b.target == nil || x.load < b.load || x.load == b.load && r.score > b.score {
+			b = r
+		}
+	}
+
+	switch {
+	case h.target != nil:
+		return h.candidate
+	case o.target != nil:
+		return o.candidate
+	default:
+		return b.candidate
+	}
+}
+
+// firstRanked returns the first target in the rendezvous order of a key, regardless of its load.
+func firstRanked(l []candidate, key uint64) *enroller.Target {
+	var o ranked
+
+	for _, x := range l {
+		o = o.higher(ranked{candidate: x, score: hasher.Score(key, x.target.Rank(), 1)})
+	}
+
+	return o.target
+}
+
+// spreadFactor is the factor by which the set of eligible targets grows with each target found full. A smaller
+// one lets calls for a hot prompt meet at full targets; a larger one has more targets compute the prompt than
+// necessary.
+const spreadFactor = 3
+
+// pickForPrompt returns the candidate for a call with a prompt. holders are known to have the prompt cached.
+func pickForPrompt(l []candidate, bound float64, holders []enroller.Key, q Query) candidate {
+	if q.Declined > 1 {
+		return pickSpread(l, bound, holders, q)
+	}
+
+	return pickBounded(l, bound, q.Prefixes[0].Key, holders)
+}
+
+// pickSpread returns a candidate within the bound for a call that found several targets full. It draws from
+// the first targets in the rendezvous order of the key; their number grows by spreadFactor with each target
+// found full.
+//
+// A prompt that a tenth of all calls share fills ten targets and more. If all calls tried them one by one in
+// the same order, each would request a slot at every full target first, or be sent to a full one.
+func pickSpread(l []candidate, bound float64, holders []enroller.Key, q Query) candidate {
+	k := q.Prefixes[0].Key
+	r := make([]ranked, 0, len(l))
+
+	for _, x := range l {
+		if x.load+1 <= bound {
+			r = append(r, ranked{candidate: x, score: hasher.Score(k, x.target.Rank(), 1)})
+		}
+	}
+
+	if len(r) == 0 {
+		return pickBounded(l, bound, k, holders)
+	}
+
+	slices.SortFunc(r, func(a, b ranked) int { return cmp.Compare(b.score, a.score) })
+
+	n := 1
+	for range q.Declined - 1 {
+		n *= spreadFactor
+	}
+
+	return r[hasher.Mix(q.Draw, uint64(q.Declined))%uint64(min(n, len(r)))].candidate //nolint:gosec // Both are above zero.
+}
+
+// ranked is a candidate with its score in the rendezvous order of a key; the highest is first. The zero value
+// is no candidate and ranks last.
+type ranked struct {
+	candidate
+
+	score float64
+}
+
+// higher returns the candidate with the higher score.
+func (r ranked) higher(x ranked) ranked {
+	if r.target == nil || x.score > r.score {
+		return x
+	}
+
+	return r
+}
+
+// pickLeastLoaded returns the candidate with the least load per slot. Candidates outside the given data centre
+// count with penalty added to their load. The call's draw breaks ties: if the first of them were selected,
+// the last one would idle while the others have free slots.
+func pickLeastLoaded(l []candidate, centre string, penalty float64, draw uint64) candidate {
+	var o candidate
+
+	b := 0.0
+	before := func(x, y candidate) bool {
+		return hasher.Score(draw, x.target.Rank(), 1) > hasher.Score(draw, y.target.Rank(), 1)
+	}
+
+	for _, x := range l {
+		w := x.load / float64(max(x.target.Slots, 1))
+		if x.target.DataCentre != centre {
+			w += penalty
+		}
+
+		if o.target == nil || w < b || w == b && before(x, o) {
+			o, b = x, w
+		}
+	}
+
+	return o
+}
--- /dev/null
+++ b/internal/selector/cold.go
@@ -0,0 +1,54 @@
+package selector
+
+import (
+	"slices"
+	"sync"
+	"time"
+
+	"github.com/auburntray/auburntray/internal/enroller"
+)
+
+// cold reports whether a target can only serve a low rate of calls: because its entry says so, or because its
+// data centre was reopened recently and the target's updated entry may not have been read yet.
+func (q *Query) cold(now time.Time, r *enroller.Roster, t *enroller.Target) bool {
+	if q.ColdRate <= 0 {
+		return false
+	}
+
+	return t.ColdAt(now, q.ColdFor) || now.Before(r.Reopened[t.DataCentre].Add(q.ColdFor))
+}
+
+// admissible returns the candidates that a call may be sent to: the warm ones, and the cold ones within this
+// instance's share of their rate. Other cold ones are omitted even if no candidate remains, because a cold
+// target that is sent too many calls crashes and loses all of them.
+func (c *Selector) admissible(now time.Time, l []candidate, q *Query) []candidate {
+	if !slices.ContainsFunc(l, func(x candidate) bool { return x.cold }) {
+		return l
+	}
+
+	f := sync.OnceValue(c.fleet)
+
+	return filter(l, func(x candidate) bool {
+		return !x.cold || c.throttler.Room(now, x.target.Key(), q.ColdRate, f)
+	})
+}
+
+// loadBaseline returns the candidates that count for the mean load: all that are reachable, including cold
+// ones and those in a backoff. If none is reachable, it returns those that are tried as a last resort.
+func (c *Selector) loadBaseline(now time.Time, tried, all []candidate) []candidate {
+	if l := c.health.reachable(now, all); len(l) > 0 {
+		return l
+	}
+
+	return tried
+}
+
+// recordSent counts a call to a target that is cold or recovers from a backoff. At a cold target the call
+// counts even if the home instance of the target declines it afterwards.
+func (c *Selector) recordSent(now time.Time, x candidate) {
+	if x.cold {
+		c.throttler.Sent(now, x.target.Key())
+	}
+
+	c.suppressor.Sent(now, x.target.Key())
+}
--- a/internal/chooser/cold_replay_test.go
+++ b/internal/selector/cold_replay_test.go
@@ -1,4 +1,4 @@
-package chooser_test
+package selector_test
 
 import (
 	"math/rand/v2"
@@ -7,28 +7,28 @@
 
 	"github.com/matryer/is"
 
-	"github.com/auburntray/auburntray/internal/chooser"
 	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/selector"
 	"github.com/auburntray/auburntray/internal/throttler"
 )
 
-// What cold targets bear, and how many times the usual number of calls comes.
+// The load that cold targets can serve, and the load of the surge as a multiple of the usual one.
 const (
 	coldFor  = 3 * time.Second
 	coldRate = 18
-	coldMost = 32 // By a coverage of 1.5 and a slack of 5.
+	maxCold  = 32 // With a coverage of 1.5 and a slack of 5.
 	surge    = 2.25
 )
 
-// instanceOf is an instance of a replay.
-type instanceOf struct {
-	chooser *chooser.Chooser
+// instance is a simulated instance.
+type instance struct {
+	chooser *selector.Selector
 	fleet   throttler.Fleet
 }
 
-// fleetOf returns instances that know of each other as far as they are in one view.
-func fleetOf(most int, views ...int) []*instanceOf {
-	var o []*instanceOf
+// fleetOf returns instances in groups of the given sizes. Each instance only knows the others of its group.
+func fleetOf(most int, views ...int) []*instance {
+	var o []*instance
 
 	for _, n := range views {
 		var live []uint64
@@ -37,8 +37,8 @@
 		}
 
 		for _, id := range live {
-			x := &instanceOf{
-				chooser: chooser.New(chooser.DefaultSettings()),
+			x := &instance{
+				chooser: selector.New(selector.DefaultSettings()),
 				fleet:   throttler.Fleet{Self: id, Live: live, Most: most, Settled: true},
 			}
 			x.chooser.Throttle(throttler.Settings{Coverage: 1.5, Slack: 5}, func() throttler.Fleet { return x.fleet })
@@ -49,46 +49,46 @@
 	return o
 }
 
-// Guards against cold targets that are overrun when half of a group, or all of it, comes back in a
-// surge: instances that know nothing of each other's calls send a target more than it bears.
-func TestReplayOfASurgeAtColdTargets(t *testing.T) {
+// Guards against cold targets that are overloaded when half of a group, or all of it, returns during a surge:
+// instances that do not know of each other's calls exceed the rate that a cold target can serve.
+func TestReplayOfSurgeAtColdTargets(t *testing.T) {
 	for name, x := range map[string]struct {
-		fleet []*instanceOf
-		// every so many-th engine is cold; 1 is all of them.
+		fleet []*instance
+		// every n-th engine is cold; 1 makes all of them cold.
 		every int
-		// hot is the part of the calls that share one prompt.
+		// hot is the fraction of the calls that share one prompt.
 		hot float64
-		// served is the least part of the calls that find a target.
+		// served is the minimum fraction of the calls that are assigned a target.
 		served float64
 	}{
 		"one instance":                   {fleet: fleetOf(1, 1), every: 2, served: 1},
 		"8":                              {fleet: fleetOf(8, 8), every: 2, served: 1},
 		"85":                             {fleet: fleetOf(85, 85), every: 2, served: 1},
 		"380":                            {fleet: fleetOf(380, 380), every: 2, served: 1},
-		"8, cut in two":                  {fleet: fleetOf(8, 3, 5), every: 2, served: 1},
-		"85, cut in two":                 {fleet: fleetOf(85, 20, 65), every: 2, served: 1},
+		"8, partitioned":                 {fleet: fleetOf(8, 3, 5), every: 2, served: 1},
+		"85, partitioned":                {fleet: fleetOf(85, 20, 65), every: 2, served: 1},
 		"85, one prompt in four is hot":  {fleet: fleetOf(85, 85), every: 2, hot: 0.25, served: 1},
 		"380, all cold, one prompt hot":  {fleet: fleetOf(380, 380), every: 1, hot: 0.25, served: 0.2},
 		"8, all cold":                    {fleet: fleetOf(8, 8), every: 1, served: 0.5},
 		"85, all cold":                   {fleet: fleetOf(85, 85), every: 1, served: 0.5},
-		"85, a zone's worth cold":        {fleet: fleetOf(85, 85), every: 4, served: 1},
-		"85, half of them just started":  {fleet: withNewcomers(fleetOf(85, 85)), every: 2, served: 1},
-		"85, all of them just started":   {fleet: withNewcomers(fleetOf(85, 85), fleetOf(85, 85)...), every: 2, served: 1},
-		"8 of 85 left, each by itself":   {fleet: fleetOf(85, 1, 1, 1, 1, 1, 1, 1, 1), every: 1},
-		"100 where 85 were counted last": {fleet: fleetOf(85, 100), every: 2, served: 1},
+		"85, a quarter cold":             {fleet: fleetOf(85, 85), every: 4, served: 1},
+		"85, half of them newly started": {fleet: withNewcomers(fleetOf(85, 85)), every: 2, served: 1},
+		"85, all of them newly started":  {fleet: withNewcomers(fleetOf(85, 85), fleetOf(85, 85)...), every: 2, served: 1},
+		"8 of 85 remain, each isolated":  {fleet: fleetOf(85, 1, 1, 1, 1, 1, 1, 1, 1), every: 1},
+		"100 where 85 were known before": {fleet: fleetOf(85, 100), every: 2, served: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
-			worst, served := surgeAt(x.fleet, x.every, x.hot)
+			worst, served := replaySurge(x.fleet, x.every, x.hot)
 			t.Logf("%d calls in the worst second, %.2f of all served", worst, served)
-			i.True(worst <= coldMost)
+			i.True(worst <= maxCold)
 			i.True(served >= x.served)
 		})
 	}
 }
 
-// withNewcomers returns instances of which every second one has just started.
-func withNewcomers(l []*instanceOf, more ...*instanceOf) []*instanceOf {
+// withNewcomers marks every second instance as just started, or all of them if any more are given.
+func withNewcomers(l []*instance, more ...*instance) []*instance {
 	for k, x := range l {
 		if k%2 == 0 || len(more) > 0 {
 			x.fleet = throttler.Fleet{Self: x.fleet.Self, Live: []uint64{x.fleet.Self}, Most: 1}
@@ -98,11 +98,11 @@
 	return l
 }
 
-// surgeAt replays a surge from the moment at which targets start, and returns how many calls reached
-// a cold one in its worst second and which part of all calls found a target.
-func surgeAt(l []*instanceOf, every int, hot float64) (worst int, served float64) {
+// replaySurge simulates a surge from the moment at which targets start. It returns the maximum number of calls
+// that reached a cold target within one second, and the fraction of all calls that were assigned a target.
+func replaySurge(l []*instance, every int, hot float64) (worst int, served float64) {
 	type call struct {
-		from   *instanceOf
+		from   *instance
 		target *enroller.Target
 		ends   time.Time
 	}
@@ -110,16 +110,16 @@
 	var calls []call
 
 	x := rand.New(rand.NewPCG(1, 2))
-	begun := time.Unix(1000, 0)
-	r := enginesOf(begun, every, coldFor)
+	start := time.Unix(1000, 0)
+	r := enginesOf(start, every, coldFor)
 	arrived := make(map[string][]time.Time)
 	running := make(map[string]int)
 	all, found := 0, 0
 
 	const gap = time.Second / (usualRate * surge)
-	for now := begun; now.Before(begun.Add(coldFor)); now = now.Add(gap) {
+	for now := start; now.Before(start.Add(coldFor)); now = now.Add(gap) {
 		for len(calls) > 0 && !calls[0].ends.After(now) {
-			calls[0].from.chooser.Finish(now, calls[0].target, chooser.Good)
+			calls[0].from.chooser.Finish(now, calls[0].target, selector.Answered)
 			running[calls[0].target.ID]--
 			calls = calls[1:]
 		}
@@ -131,7 +131,7 @@
 
 		from := l[x.IntN(len(l))]
 		for id, t := range r.Known {
-			from.chooser.Report(now, t, chooser.Report{Running: running[id], Slots: t.Slots})
+			from.chooser.ReportLoad(now, t, selector.LoadReport{Running: running[id], Slots: t.Slots})
 		}
 
 		q := query(k)
@@ -150,22 +150,22 @@
 		calls = append(calls, call{from, c.Target, now.Add(time.Second)})
 
 		if c.Target.ColdAt(now, coldFor) {
-			// A call may be on its way for as long as a connection takes to be made.
+			// The arrival is delayed by the time in which a connection is established.
 			at := now.Add(time.Duration(x.Int64N(int64(120 * time.Millisecond))))
 			arrived[c.Target.ID] = append(arrived[c.Target.ID], at)
 		}
 	}
 
 	for _, a := range arrived {
-		worst = max(worst, mostIn(a, time.Second))
+		worst = max(worst, maxWithin(a, time.Second))
 	}
 
 	return worst, float64(found) / float64(all)
 }
 
-// mostIn returns how many moments of a list fall into a span at most.
-func mostIn(l []time.Time, span time.Duration) int {
-	most := 0
+// maxWithin returns the maximum number of times of a list that fall into one span.
+func maxWithin(l []time.Time, span time.Duration) int {
+	highest := 0
 
 	for _, a := range l {
 		n := 0
@@ -176,19 +176,19 @@
 			}
 		}
 
-		most = max(most, n)
+		highest = max(highest, n)
 	}
 
-	return most
+	return highest
 }
 
-// Guards against a bound of nothing when no target of a group with cold ones can be reached: calls
-// would ask homes for room without end.
-func TestBoundWhereNothingIsReached(t *testing.T) {
+// Guards against an infinite bound, the mean over no targets, when no target of a group with cold ones is
+// reachable: calls would request slots from home instances without end.
+func TestBoundWithoutReachableTargets(t *testing.T) {
 	i := is.New(t)
 	now := time.Unix(1000, 0)
 	e := enroller.New(enroller.DefaultSettings())
-	c := chooser.New(chooser.DefaultSettings())
+	c := selector.New(selector.DefaultSettings())
 	c.Throttle(throttler.Settings{Coverage: 1}, func() throttler.Fleet { return throttler.Fleet{} })
 
 	for id, cold := range map[string]time.Duration{"warm": 0, "cold": time.Minute} {
@@ -198,14 +198,14 @@
 	r := e.Roster()
 	for _, x := range r.Known {
 		c.Start(now, x)
-		c.Finish(now, x, chooser.Unreachable)
+		c.Finish(now, x, selector.Unreachable)
 	}
 
 	q := query(1)
 	q.ColdRate, q.ColdFor = coldRate, coldFor
 
 	o, ok := c.Choose(now, r, group, q)
-	i.True(ok) // One call finds out whether that is still so.
+	i.True(ok) // One call probes whether that has changed.
 	i.Equal(o.Target.ID, "warm")
 	i.True(o.Bound < 10)
 }
--- /dev/null
+++ b/internal/selector/decline_test.go
@@ -0,0 +1,127 @@
+package selector_test
+
+import (
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"github.com/auburntray/auburntray/internal/selector"
+)
+
+// Guards against traces of a call that was not sent because its target was full: the target must not be
+// considered a holder of the prompt, other instances must not be notified of it, and no running call may
+// remain counted. The target is known to be full, and the next call is sent elsewhere.
+func TestDeclinedChoiceIsReverted(t *testing.T) {
+	i := is.New(t)
+	r := registry(9, "a")
+	c := selector.New(selector.DefaultSettings())
+	now := time.Unix(0, 0)
+
+	x := choose(c, now, r, query(1))
+	c.Decline(now, x, 12)
+
+	n := c.PendingUpdate()
+	i.Equal(len(n.Placements), 0)
+	i.Equal(len(n.Loads), 1)
+	i.Equal(n.Loads[0].Calls, 12)
+
+	y := choose(c, now, r, query(1))
+	i.True(y.Target != x.Target)
+	i.True(!y.Cached)
+
+	// The result is the same as if the target had never been selected and were known to be full.
+	d := selector.New(selector.DefaultSettings())
+	d.ReportLoad(now, x.Target, selector.LoadReport{Running: 12, Slots: x.Target.Slots})
+	i.Equal(choose(d, now, r, query(1)), y)
+
+	// A target that had the prompt cached before remains a holder.
+	c.Finish(now, y.Target, selector.Answered)
+	z := choose(c, now.Add(time.Second), r, query(1))
+	i.Equal(z.Target, y.Target)
+	i.True(z.Cached)
+	c.Decline(now.Add(time.Second), z, 12)
+
+	z = choose(c, now.Add(4*time.Second), r, query(1))
+	i.Equal(z.Target, y.Target)
+	i.True(z.Cached)
+}
+
+// Guards against a prompt of some thousand parts being computed twice although a target has it cached: a call
+// failed at once at another target, and the next target tried to fetch the prompt from that one, since the
+// prompt was last sent there.
+func TestFailedTargetIsNoSource(t *testing.T) {
+	i := is.New(t)
+	r := registry(9, "a")
+	c := selector.New(selector.DefaultSettings())
+	now := time.Unix(0, 0)
+
+	x := choose(c, now, r, query(1))
+	c.Finish(now, x.Target, selector.Answered)
+
+	q := query(1)
+	q.Excluded = []string{x.Target.ID}
+	y := choose(c, now, r, q)
+	i.Equal(y.Source, x.Target)
+	c.Finish(now, y.Target, selector.Failed)
+	c.RevertPlacements(y)
+
+	q.Excluded = []string{x.Target.ID, y.Target.ID}
+	z := choose(c, now, r, q)
+	i.Equal(z.Source, x.Target)
+
+	// A target that had the prompt cached before remains a holder.
+	q.Excluded = []string{y.Target.ID, z.Target.ID}
+	x = choose(c, now, r, q)
+	i.True(x.Cached)
+	c.Finish(now, x.Target, selector.Failed)
+	c.RevertPlacements(x)
+	i.True(choose(c, now, r, q).Cached)
+}
+
+// A prompt that a tenth of all calls share fills one target after the other. Guards against all calls that
+// found two targets full trying the same third one: they spread over the next ones in the rendezvous order,
+// over more with each full target.
+func TestCallsSpreadAfterFullTargets(t *testing.T) {
+	for name, tc := range map[string]struct {
+		declined int
+		targets  int
+	}{
+		"none was full": {0, 1}, "one was full": {1, 1}, "two were full": {2, 3}, "three were full": {3, 9},
+	} {
+		t.Run(name, func(t *testing.T) {
+			i := is.New(t)
+			r := registry(40, "a", "b")
+			seen := make(map[string]bool)
+
+			for n := range uint64(400) {
+				c := selector.New(selector.DefaultSettings())
+				q := query(1)
+				q.Declined, q.Draw = tc.declined, n
+				seen[choose(c, time.Unix(0, 0), r, q).Target.ID] = true
+			}
+
+			i.Equal(len(seen), tc.targets)
+		})
+	}
+}
+
+// Guards against an idle target that receives no calls: of five idle targets it was the last by ID, and each
+// call was sent to the first of those with the least load.
+func TestTiesAreSpread(t *testing.T) {
+	i := is.New(t)
+	r := registry(5, "a")
+	seen := make(map[string]int)
+
+	for n := range uint64(500) {
+		c := selector.New(selector.DefaultSettings())
+		o, ok := c.Choose(time.Unix(0, 0), r, group, selector.Query{DataCentre: "a", Draw: n})
+		i.True(ok)
+
+		seen[o.Target.ID]++
+	}
+
+	for _, x := range r.Groups[group] {
+		i.True(seen[x.ID] > 60) // 100 each on average.
+	}
+}
--- /dev/null
+++ b/internal/selector/departure_test.go
@@ -0,0 +1,70 @@
+package selector_test
+
+import (
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/selector"
+)
+
+// Guards against slow answers for returning chats during a release: engines that never announce that they are
+// leaving vanish from the registry but serve for seconds more, and what they have cached would be computed
+// again elsewhere. An engine that crashed vanishes too, seconds after its last load report; no call may wait
+// for it.
+func TestPromptOfDepartedTarget(t *testing.T) {
+	const reported = time.Hour // The time of the last load report from the target that leaves.
+
+	for name, x := range map[string]struct {
+		// removed is the time from the last load report to the removal from the registry, and requested the
+		// time from there to a call with its prompt.
+		removed, requested time.Duration
+		// change is a further change of the registry.
+		change func(e *enroller.Enroller)
+		// failed makes the target unreachable before its removal.
+		failed bool
+		want   bool
+	}{
+		"just now":              {removed: 100 * time.Millisecond, want: true},
+		"seconds ago":           {removed: 100 * time.Millisecond, requested: 3900 * time.Millisecond, want: true},
+		"long ago":              {removed: 100 * time.Millisecond, requested: 4 * time.Second},
+		"no recent load report": {removed: 3 * time.Second},
+		"was unreachable":       {removed: 100 * time.Millisecond, failed: true},
+		"listed, restarted":     {removed: 100 * time.Millisecond, change: func(e *enroller.Enroller) { e.Set(enroller.Target{ID: "old", Group: "other", Start: time.Unix(9, 0)}) }},
+	} {
+		t.Run(name, func(t *testing.T) {
+			i := is.New(t)
+			e := enroller.New(enroller.DefaultSettings())
+			now := time.Unix(0, 0).Add(reported)
+			e.Set(enroller.Target{ID: "old", Group: group, Slots: 8})
+
+			c := selector.New(selector.DefaultSettings())
+			c.ApplyRegistry(now, e.Roster())
+
+			o := choose(c, now, e.Roster(), query(7))
+			c.ReportLoad(now, o.Target, selector.LoadReport{Running: 1, Slots: 8})
+
+			if x.failed {
+				c.Finish(now, o.Target, selector.Unreachable)
+			} else {
+				c.Finish(now, o.Target, selector.Answered)
+			}
+
+			now = now.Add(x.removed)
+			e.Set(enroller.Target{ID: "new", Group: group, Slots: 8})
+			e.Remove(now, "old")
+
+			if x.change != nil {
+				x.change(e)
+			}
+
+			c.ApplyRegistry(now, e.Roster())
+
+			o = choose(c, now.Add(x.requested), e.Roster(), query(7))
+			i.Equal(o.Target.ID, "new")
+			i.Equal(o.Source != nil, x.want)
+		})
+	}
+}
--- a/internal/chooser/evacuation_replay_test.go
+++ b/internal/selector/evacuation_replay_test.go
@@ -1,4 +1,4 @@
-package chooser_test
+package selector_test
 
 import (
 	"fmt"
@@ -8,19 +8,19 @@
 
 	"github.com/matryer/is"
 
-	"github.com/auburntray/auburntray/internal/chooser"
 	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/selector"
 )
 
-// The work of the replays: engines, their prompts, and calls a second.
+// The load of the replays: engines, their prompts, and calls per second.
 const (
 	engines   = 60
 	prompts   = 900
 	usualRate = 564
 )
 
-// enginesOf returns the list of the engines in four data centres. Every so many-th has just started
-// and stays cold for a time.
+// enginesOf returns a registry of engines in four data centres. Every n-th has just started and is cold for
+// the given time.
 func enginesOf(now time.Time, every int, cold time.Duration) *enroller.Roster {
 	e := enroller.New(enroller.DefaultSettings())
 
@@ -36,23 +36,23 @@
 	return e.Roster()
 }
 
-// Guards against a data centre that is emptied while callers send twice their usual: the calls go to
-// the others within their bound, and their prompts are fetched from the targets that are closed.
-func TestReplayOfAnEvacuationInASurge(t *testing.T) {
-	for name, hot := range map[string]float64{"prompts alike": 0, "one prompt in four is hot": 0.25} {
-		t.Run(name, func(t *testing.T) { evacuateInSurge(t, hot) })
+// Guards against overload and lost prompts when a data centre is evacuated at twice the usual load: its calls
+// are assigned to the other targets within their bound, and the prompts are fetched from the evacuated ones.
+func TestReplayOfEvacuationDuringSurge(t *testing.T) {
+	for name, hot := range map[string]float64{"no hot prompt": 0, "one prompt in four is hot": 0.25} {
+		t.Run(name, func(t *testing.T) { replayEvacuation(t, hot) })
 	}
 }
 
-// evacuateInSurge replays it with a part of the calls that share one prompt.
-func evacuateInSurge(t *testing.T, hot float64) {
+// replayEvacuation runs the replay with the given fraction of calls that share one prompt.
+func replayEvacuation(t *testing.T, hot float64) {
 	t.Helper()
 
 	i := is.New(t)
-	begun := time.Unix(1000, 0)
-	r := enginesOf(begun, engines+1, 0)
+	start := time.Unix(1000, 0)
+	r := enginesOf(start, engines+1, 0)
 	x := rand.New(rand.NewPCG(1, 2))
-	c := chooser.New(chooser.DefaultSettings())
+	c := selector.New(selector.DefaultSettings())
 	running := make(map[string]int)
 
 	type call struct {
@@ -62,19 +62,19 @@
 
 	var calls []call
 
-	fetched, closing, moved, over, after := 0, 0, 0, 0, 0
+	fetched, fromEvacuated, moved, aboveBound, total := 0, 0, 0, 0, 0
 
 	for k := range 6 * usualRate * 2 {
-		now := begun.Add(time.Duration(k) * time.Second / (usualRate * 2))
+		now := start.Add(time.Duration(k) * time.Second / (usualRate * 2))
 		closed := k >= 3*usualRate*2
 
 		if closed && len(r.Closed) == 0 {
 			r = r.Evacuated(func(centre string) bool { return centre == "dc1" }, nil)
-			c.Forget(now, r)
+			c.ApplyRegistry(now, r)
 		}
 
 		for len(calls) > 0 && !calls[0].ends.After(now) {
-			c.Finish(now, calls[0].target, chooser.Good)
+			c.Finish(now, calls[0].target, selector.Answered)
 			running[calls[0].target.ID]--
 			calls = calls[1:]
 		}
@@ -85,7 +85,7 @@
 		}
 
 		o := choose(c, now, r, query(p))
-		c.Read(now, o)
+		c.ConfirmPlacements(now, o)
 		calls = append(calls, call{o.Target, now.Add(time.Second)})
 		running[o.Target.ID]++
 
@@ -94,13 +94,13 @@
 		}
 
 		i.True(o.Target.DataCentre != "dc1")
-		after++
+		total++
 
 		if float64(running[o.Target.ID]) > 2*float64(len(calls))/engines+3 {
-			over++
+			aboveBound++
 		}
 
-		if !o.Held {
+		if !o.Cached {
 			moved++
 
 			if o.Source != nil {
@@ -108,12 +108,12 @@
 			}
 
 			if o.Source != nil && o.Source.DataCentre == "dc1" {
-				closing++
+				fromEvacuated++
 			}
 		}
 	}
 
-	i.True(over*100 <= 3*after)      // The mean is that of all engines, also of those that are closed.
-	i.True(fetched*10 >= moved*9)    // Nearly no prompt that moves is read anew.
-	i.True(moved > 0 && closing > 0) // Prompts do move, and from the closed ones too.
+	i.True(aboveBound*100 <= 3*total)      // The mean includes the engines of the evacuated data centre.
+	i.True(fetched*10 >= moved*9)          // Nearly no prompt that moves is computed again.
+	i.True(moved > 0 && fromEvacuated > 0) // Prompts do move, also from evacuated engines.
 }
--- /dev/null
+++ b/internal/selector/exclusion.go
@@ -0,0 +1,126 @@
+package selector
+
+import (
+	"maps"
+	"slices"
+
+	"github.com/auburntray/auburntray/internal/enroller"
+)
+
+// Cause is why a target or a data centre is excluded.
+type Cause string
+
+// The causes of exclusion.
+const (
+	// TargetUnreachable means that no connection to a target was established.
+	TargetUnreachable Cause = "targetUnreachable"
+	// CentreUnreachable means that connections to targets of a data centre failed twice in a row.
+	CentreUnreachable Cause = "dataCentreUnreachable"
+	// TargetFailing means that a target failed repeatedly.
+	TargetFailing Cause = "targetFailing"
+	// TargetGone means that a target's address belongs to another process.
+	TargetGone Cause = "targetGone"
+	// TargetSlow means that a target's answers begin much later than those of others.
+	TargetSlow Cause = "targetSlow"
+	// TargetBackingOff means that a target asked for a backoff.
+	TargetBackingOff Cause = "targetRests"
+)
+
+// targetCauses are the causes that apply to single targets.
+var targetCauses = []Cause{TargetUnreachable, TargetFailing, TargetGone, TargetSlow, TargetBackingOff} //nolint:gochecknoglobals // A constant table.
+
+// Source is the origin of a change of health status.
+type Source string
+
+// The sources.
+const (
+	// Own is the outcome of a call of this instance.
+	Own Source = "own"
+	// Peer is a notification from another instance. It has notified all instances, so the change is not
+	// forwarded.
+	Peer Source = "peer"
+)
+
+// HealthChange is a change of the health status of a target or a data centre.
+type HealthChange struct {
+	Cause  Cause
+	Source Source
+	// Name is the ID of the target or the name of the data centre.
+	Name string
+	// Process is the target's process; zero for a data centre.
+	Process enroller.Process
+	// Excluded reports whether the target or data centre is excluded from now on; otherwise it is readmitted.
+	Excluded bool
+}
+
+// exclusion identifies a process or a data centre that is excluded for a cause.
+type exclusion struct {
+	cause   Cause
+	process enroller.Key
+	centre  string
+}
+
+// exclusionOf returns the exclusion of a target, or of its data centre if the cause applies to that.
+func exclusionOf(c Cause, t *enroller.Target) exclusion {
+	if c == CentreUnreachable {
+		return exclusion{cause: c, centre: t.DataCentre}
+	}
+
+	return exclusion{cause: c, process: t.Key()}
+}
+
+// setExcluded records whether a target, or its data centre, is excluded for a cause. It does nothing if that
+// is unchanged.
+func (h *health) setExcluded(s Source, c Cause, t *enroller.Target, excluded bool) {
+	k := exclusionOf(c, t)
+	if h.excluded[k] == excluded {
+		return
+	}
+
+	if excluded {
+		h.excluded[k] = true
+	} else {
+		delete(h.excluded, k)
+	}
+
+	b := HealthChange{Cause: c, Source: s, Name: t.ID, Process: t.Process(), Excluded: excluded}
+	if c == CentreUnreachable {
+		b.Name, b.Process = t.DataCentre, enroller.Process{}
+	}
+
+	h.changes = append(h.changes, b)
+}
+
+// isExcluded reports whether a target or its data centre is excluded.
+func (h *health) isExcluded(t *enroller.Target) bool {
+	if h.excluded[exclusionOf(CentreUnreachable, t)] {
+		return true
+	}
+
+	return slices.ContainsFunc(targetCauses, func(c Cause) bool { return h.excluded[exclusionOf(c, t)] })
+}
+
+// cutOff returns a target in each unreachable data centre if fewer than half of the data centres with targets
+// are reachable, and none otherwise.
+func (h *health) cutOff(r *enroller.Roster) []*enroller.Target {
+	if len(h.excluded) == 0 {
+		return nil
+	}
+
+	all := make(map[string]bool)
+	unreachable := make(map[string]*enroller.Target)
+
+	for _, t := range r.Known {
+		all[t.DataCentre] = true
+
+		if h.excluded[exclusionOf(CentreUnreachable, t)] {
+			unreachable[t.DataCentre] = t
+		}
+	}
+
+	if 2*(len(all)-len(unreachable)) >= len(all) {
+		return nil
+	}
+
+	return slices.Collect(maps.Values(unreachable))
+}
--- /dev/null
+++ b/internal/selector/health.go
@@ -0,0 +1,251 @@
+package selector
+
+import (
+	"time"
+
+	"github.com/auburntray/auburntray/internal/ejector"
+	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/pacer"
+)
+
+const (
+	// maxFailingExclusion bounds the exclusion of a target that fails intermittently. A recovered target must
+	// be readmitted within seconds, and a probe call that fails costs one retry.
+	maxFailingExclusion = 5 * time.Second
+	// goneExclusion is how long a target is excluded whose address belongs to another process. It exceeds the
+	// time until the entry lapses in the registry: three heartbeats of about a second.
+	goneExclusion = 10 * time.Second
+	// reportedExclusion is how long a home instance's report that a target is unhealthy applies before the
+	// home instance is asked again.
+	reportedExclusion = 300 * time.Millisecond
+	// lastResortInterval is the interval at which a call is spent on a group without reachable targets. It
+	// bounds how late the end of a network partition is noticed.
+	lastResortInterval = 100 * time.Millisecond
+)
+
+// health derives the health status of targets from their answers. It is not safe for concurrent use.
+type health struct {
+	// targets and centres track what is unreachable.
+	targets *ejector.Ejector[enroller.Key]
+	centres *ejector.Ejector[uint32]
+	// failing tracks targets that are reachable and fail.
+	failing *ejector.Ejector[enroller.Key]
+	// gone tracks targets whose address belongs to another process.
+	gone  *ejector.Ejector[enroller.Key]
+	paces *pacer.Pacer[enroller.Key]
+	// reportedAt is when a target was last reported as unhealthy by its home instance.
+	reportedAt map[enroller.Key]time.Time
+	// lastResorts is when a call was last spent on a group without reachable targets.
+	lastResorts map[string]time.Time
+	// excluded holds the current exclusions, and changes those that have not been returned yet.
+	excluded map[exclusion]bool
+	changes  []HealthChange
+}
+
+func newHealth() *health {
+	return &health{
+		// A single failed connection is sufficient, since other targets are a millisecond away. A retry costs
+		// a few milliseconds, so the exclusions are short.
+		targets: ejector.New[enroller.Key](ejector.Settings{Failures: 1, Base: 500 * time.Millisecond, Max: 4 * time.Second, PanicPart: 1}),
+		// In a data centre that is cut off, each target would cost a call a dial time-out. Two consecutive
+		// failures exclude the whole data centre.
+		centres: ejector.New[uint32](ejector.Settings{Failures: 2, Base: 500 * time.Millisecond, Max: 2 * time.Second, PanicPart: 1}),
+		failing: ejector.New[enroller.Key](ejector.Settings{Failures: 3, Base: time.Second, Max: maxFailingExclusion, PanicPart: 0.5}),
+		// A replaced process does not return, and its entry lapses seconds later. It is retried in case the
+		// answer was wrong.
+		gone:        ejector.New[enroller.Key](ejector.Settings{Failures: 1, Base: goneExclusion, Max: goneExclusion, PanicPart: 1}),
+		paces:       pacer.New[enroller.Key](),
+		reportedAt:  make(map[enroller.Key]time.Time),
+		lastResorts: make(map[string]time.Time),
+		excluded:    make(map[exclusion]bool),
+	}
+}
+
+// usable returns the reachable candidates of a group and those of them that may be assigned a call; both are
+// empty if none is reachable. usual is the median pace of the candidates that do not fail.
+func (h *health) usable(now time.Time, group string, l []candidate) (reached, usable []candidate, usual float64) {
+	r := h.reachable(now, l)
+	if len(r) == 0 {
+		r = h.lastResort(now, group, l)
+	}
+
+	reached = r
+
+	// If most targets fail, the fault is more likely at this instance.
+	if !h.panicMode(now, r) {
+		r = filterOrAll(r, func(x candidate) bool { return !h.failing.Out(now, x.target.Key()) })
+	}
+
+	r = filterOrAll(r, func(x candidate) bool { return !h.reportedUnhealthy(now, x.target) })
+
+	usual = h.paces.Usual(keys(r))
+
+	return reached, filterOrAll(r, func(x candidate) bool { return !h.slow(now, x.target, usual) }), usual
+}
+
+func (h *health) reachable(now time.Time, l []candidate) []candidate {
+	return filter(l, func(x candidate) bool { return h.isReachable(now, x.target) && !h.gone.Out(now, x.target.Key()) })
+}
+
+// reportedUnhealthy reports whether the home instance recently reported a target as unhealthy.
+func (h *health) reportedUnhealthy(now time.Time, t *enroller.Target) bool {
+	s, ok := h.reportedAt[t.Key()]
+
+	return ok && now.Sub(s) < reportedExclusion
+}
+
+// reportUnhealthy records that the home instance considers a target unhealthy.
+func (h *health) reportUnhealthy(now time.Time, t *enroller.Target) {
+	h.reportedAt[t.Key()] = now
+}
+
+// panicMode reports whether so many candidates fail that none is excluded for it.
+func (h *health) panicMode(now time.Time, l []candidate) bool {
+	return h.failing.Panic(now, keys(l))
+}
+
+func keys(l []candidate) []enroller.Key {
+	o := make([]enroller.Key, len(l))
+	for i, x := range l {
+		o[i] = x.target.Key()
+	}
+
+	return o
+}
+
+// slow reports whether a target's answers begin much later than usual and it recently had a probe call. It
+// also records the change of health status.
+func (h *health) slow(now time.Time, t *enroller.Target, usual float64) bool {
+	n := t.Key()
+	if h.paces.Pace(n) == 0 {
+		return false
+	}
+
+	x := h.paces.Slow(n, usual)
+	h.setExcluded(Own, TargetSlow, t, x)
+
+	return x && h.paces.Tried(now, n)
+}
+
+// observePace records how long an answer took to begin, as a fraction of the time within which it is fully
+// useful.
+func (h *health) observePace(now time.Time, t *enroller.Target, fraction float64) {
+	n := t.Key()
+	h.paces.Begun(n, fraction)
+
+	// The beginning of the answer completes a probe call. Waiting for the end of its stream would keep the
+	// target excluded for seconds more.
+	if h.failing.Out(now, n) {
+		h.failing.Result(now, n, true)
+		h.setExcluded(Own, TargetFailing, t, false)
+	}
+}
+
+// lastResort returns the targets of a group of which none is reachable: all of them for one call per
+// lastResortInterval, to find out whether that has changed, and none for other calls.
+//
+// In a data centre that is cut off, every call would otherwise dial each target in turn and be refused after a
+// third of a second, when its caller could long have tried another data centre.
+func (h *health) lastResort(now time.Time, group string, l []candidate) []candidate {
+	if t, ok := h.lastResorts[group]; len(l) == 0 || ok && now.Sub(t) < lastResortInterval {
+		return nil
+	}
+
+	h.lastResorts[group] = now
+
+	return l
+}
+
+// healthy reports whether a target is reachable and does not fail.
+func (h *health) healthy(now time.Time, t *enroller.Target) bool {
+	n := t.Key()
+
+	return h.isReachable(now, t) && !h.failing.Out(now, n) && !h.gone.Out(now, n)
+}
+
+// failureSigns counts the signs that a target itself accepts no calls.
+func (h *health) failureSigns(now time.Time, t *enroller.Target) int {
+	o := 0
+
+	for _, excluded := range []bool{h.targets.Out(now, t.Key()), h.gone.Out(now, t.Key()), h.failing.Out(now, t.Key())} {
+		if excluded {
+			o++
+		}
+	}
+
+	return o
+}
+
+func (h *health) isReachable(now time.Time, t *enroller.Target) bool {
+	return !h.targets.Out(now, t.Key()) && !h.centres.Out(now, t.Centre())
+}
+
+func (h *health) start(now time.Time, t *enroller.Target) {
+	h.targets.Probe(now, t.Key())
+	h.centres.Probe(now, t.Centre())
+	h.failing.Probe(now, t.Key())
+	h.paces.Started(now, t.Key())
+}
+
+func (h *health) finish(now time.Time, t *enroller.Target, o Outcome) {
+	n, c := t.Key(), t.Centre()
+
+	switch o {
+	case Unreachable:
+		h.targets.Result(now, n, false)
+		h.centres.Result(now, c, false)
+	case Crashed:
+		// A crash is no sign of a network partition. Counted as one, targets that crash one after the other
+		// would exclude the healthy ones of their data centre for half a second each time.
+		h.targets.Result(now, n, false)
+		h.centres.Result(now, c, true)
+	case Failed:
+		h.failing.Result(now, n, false)
+	case Gone:
+		h.gone.Result(now, n, false)
+		h.centres.Result(now, c, true)
+	case Answered:
+		h.failing.Result(now, n, true)
+		h.targets.Result(now, n, true)
+		h.centres.Result(now, c, true)
+		h.gone.Result(now, n, true)
+	case Shed:
+		h.targets.Result(now, n, true)
+		h.centres.Result(now, c, true)
+	case Inconclusive:
+		// An inconclusive probe call permits the next one.
+		h.targets.Abandon(n)
+		h.centres.Abandon(c)
+		h.failing.Abandon(n)
+
+		return
+	}
+
+	h.setExcluded(Own, TargetUnreachable, t, h.targets.Out(now, n))
+	h.setExcluded(Own, CentreUnreachable, t, h.centres.Out(now, c))
+	h.setExcluded(Own, TargetFailing, t, h.failing.Out(now, n))
+	h.setExcluded(Own, TargetGone, t, h.gone.Out(now, n))
+}
+
+// reportGone records another instance's notification that a target's address belongs to another process.
+func (h *health) reportGone(now time.Time, t *enroller.Target) {
+	if h.gone.Out(now, t.Key()) {
+		return
+	}
+
+	h.gone.Result(now, t.Key(), false)
+	h.setExcluded(Peer, TargetGone, t, true)
+}
+
+// forget drops the health status of a process.
+func (h *health) forget(k enroller.Key) {
+	for _, c := range targetCauses {
+		delete(h.excluded, exclusion{cause: c, process: k})
+	}
+
+	h.targets.Forget(k)
+	h.failing.Forget(k)
+	h.gone.Forget(k)
+	h.paces.Forget(k)
+	delete(h.reportedAt, k)
+}
--- a/internal/chooser/order_test.go
+++ b/internal/selector/order_test.go
@@ -1,4 +1,4 @@
-package chooser_test
+package selector_test
 
 import (
 	"fmt"
@@ -9,12 +9,12 @@
 
 	"github.com/matryer/is"
 
-	"github.com/auburntray/auburntray/internal/chooser"
 	"github.com/auburntray/auburntray/internal/enroller"
 	"github.com/auburntray/auburntray/internal/hasher"
+	"github.com/auburntray/auburntray/internal/selector"
 )
 
-// ordered returns the targets of the group in the key's own order.
+// ordered returns the targets of the group in the rendezvous order of a key.
 func ordered(r *enroller.Roster, key uint64) []*enroller.Target {
 	l := r.Groups[group]
 	n := hasher.Rank(key, len(l), func(i int) uint64 { return uint64(hasher.Name(l[i].ID)) }, func(int) float64 { return 1 })
@@ -27,10 +27,10 @@
 	return o
 }
 
-// expected returns the target that the rule names: the first holder of the key's order
-// within the bound, or the first target within it, or the least loaded.
-func expected(l []*enroller.Target, loads map[string]int, holders []string, most float64) string {
-	fits := func(t *enroller.Target) bool { return float64(loads[t.ID]+1) <= most }
+// expected returns the target that the rule selects: the first holder in the order within the bound, else the
+// first target within the bound, else the least loaded.
+func expected(l []*enroller.Target, loads map[string]int, holders []string, bound float64) string {
+	fits := func(t *enroller.Target) bool { return float64(loads[t.ID]+1) <= bound }
 
 	if i := slices.IndexFunc(l, func(t *enroller.Target) bool { return fits(t) && slices.Contains(holders, t.ID) }); i >= 0 {
 		return l[i].ID
@@ -43,22 +43,22 @@
 	return slices.MinFunc(l, func(a, b *enroller.Target) int { return loads[a.ID] - loads[b.ID] }).ID
 }
 
-// Instances that order targets in another way, or break ties in another way, spread what one
-// target can't take over targets that are cold.
-func TestChoiceIsTheFirstOfTheKeysOrder(t *testing.T) {
-	for name, s := range map[string]chooser.Settings{
-		"as a gateway's":        chooser.DefaultSettings(),
-		"most are above":        {Factor: 0.5, Slack: 0.1},
-		"all are above, or one": {Factor: 0.01, Slack: 0.01},
+// Guards against instances that order targets or break ties differently: they would spread the calls that
+// exceed a target's bound over targets without the prompt.
+func TestChoiceFollowsRendezvousOrder(t *testing.T) {
+	for name, s := range map[string]selector.Settings{
+		"gateway defaults":            selector.DefaultSettings(),
+		"most exceed the bound":       {Factor: 0.5, Slack: 0.1},
+		"nearly all exceed the bound": {Factor: 0.01, Slack: 0.01},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			x := rand.New(rand.NewPCG(5, 6))
 			now := time.Unix(1000, 0)
-			r := roster(12, "a", "b")
+			r := registry(12, "a", "b")
 
 			for k := range uint64(300) {
-				c := chooser.New(s)
+				c := selector.New(s)
 				loads := make(map[string]int)
 
 				var holders []string
@@ -66,20 +66,20 @@
 				for i := range 12 {
 					id := fmt.Sprintf("t%d", i)
 					loads[id] = x.IntN(6)
-					c.Report(now, r.Known[id], chooser.Report{Running: loads[id], Slots: 64})
+					c.ReportLoad(now, r.Known[id], selector.LoadReport{Running: loads[id], Slots: 64})
 				}
 
 				for range x.IntN(4) {
 					id := fmt.Sprintf("t%d", x.IntN(12))
 					holders = append(holders, id)
-					c.Learn(now, r, chooser.News{Places: []chooser.Place{{Key: k, Target: r.Known[id].Key().Name()}}})
+					c.ApplyUpdate(now, r, selector.Update{Placements: []selector.Placement{{Key: k, Target: r.Known[id].Key().Name()}}})
 				}
 
 				o, ok := c.Choose(now, r, group, query(k))
 				is.True(ok)
 				is.Equal(o.Target.ID, expected(ordered(r, k), loads, holders, o.Bound))
 				is.Equal(o.Load, float64(loads[o.Target.ID]))
-				is.Equal(o.Held, slices.Contains(holders, o.Target.ID))
+				is.Equal(o.Cached, slices.Contains(holders, o.Target.ID))
 			}
 		})
 	}
--- /dev/null
+++ b/internal/selector/process_test.go
@@ -0,0 +1,449 @@
+package selector_test
+
+import (
+	"fmt"
+	"net/netip"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/selector"
+)
+
+// startedAt is when the targets of these tests started.
+var startedAt = time.UnixMilli(1_700_000_000_000)
+
+// entry returns a target's registry entry. start is the offset of its start from startedAt.
+func entry(id string, start time.Duration) enroller.Target {
+	return enroller.Target{
+		ID: id, Group: group, DataCentre: "a", Slots: 64, Start: startedAt.Add(start),
+		Address: netip.MustParseAddrPort("10.0.0.1:80"),
+	}
+}
+
+// fourTargets returns a registry with four targets.
+func fourTargets() *enroller.Enroller {
+	e := enroller.New(enroller.DefaultSettings())
+	for i := range 4 {
+		e.Set(entry(fmt.Sprintf("t%d", i), 0))
+	}
+
+	return e
+}
+
+// difference returns the first observable difference between the state of two selectors, and an empty string if
+// there is none.
+func difference(now time.Time, c *selector.Selector, r *enroller.Roster, d *selector.Selector, s *enroller.Roster) string {
+	x, y := choices(c, now, r), choices(d, now, s)
+
+	for i := range min(len(x), len(y)) {
+		if x[i] != y[i] {
+			return fmt.Sprintf("%d: %s; %s", i, x[i], y[i])
+		}
+	}
+
+	if len(x) != len(y) {
+		return fmt.Sprintf("%d and %d choices", len(x), len(y))
+	}
+
+	return ""
+}
+
+// newSelector returns a selector without state.
+func newSelector() *selector.Selector { return selector.New(selector.DefaultSettings()) }
+
+// choices returns everything about the state of a selector that affects calls.
+func choices(c *selector.Selector, now time.Time, r *enroller.Roster) []string {
+	var o []string
+
+	for _, v := range c.Views(now, r) {
+		o = append(o, fmt.Sprintf("%s load %v excluded %v", v.Target.ID, v.Load, v.Excluded))
+	}
+
+	for n := range uint64(60) {
+		x, ok := c.Choose(now, r, group, query(n))
+		s := ""
+
+		if x.Source != nil {
+			s = x.Source.ID
+		}
+
+		if ok {
+			o = append(o, fmt.Sprintf("%s load %v of %v cached %v from %q of %d", x.Target.ID, x.Load, x.Bound, x.Cached, s, x.Usable))
+		}
+	}
+
+	return o
+}
+
+// observations are ways in which a selector acquires state about a target, by a call of its own or by a
+// notification from another instance.
+func observations() map[string]func(c *selector.Selector, now time.Time, r *enroller.Roster, t *enroller.Target) {
+	finish := func(o selector.Outcome, times int) func(*selector.Selector, time.Time, *enroller.Roster, *enroller.Target) {
+		return func(c *selector.Selector, now time.Time, _ *enroller.Roster, t *enroller.Target) {
+			for range times {
+				c.Start(now, t)
+				c.Finish(now, t, o)
+			}
+		}
+	}
+
+	return map[string]func(*selector.Selector, time.Time, *enroller.Roster, *enroller.Target){
+		"unreachable": finish(selector.Unreachable, 1),
+		"failing":     finish(selector.Failed, 3),
+		"gone":        finish(selector.Gone, 1),
+		"shed":        finish(selector.Shed, 1),
+		"slow": func(c *selector.Selector, now time.Time, r *enroller.Roster, t *enroller.Target) {
+			for range 4 {
+				for _, x := range r.Known {
+					if x.ID != t.ID {
+						c.ObservePace(now, x, 0.1)
+					}
+				}
+
+				c.Start(now, t)
+				c.ObservePace(now, t, 3)
+				c.Finish(now, t, selector.Answered)
+			}
+		},
+		"calls in progress": func(c *selector.Selector, now time.Time, _ *enroller.Roster, t *enroller.Target) {
+			for range 20 {
+				c.Start(now, t)
+			}
+		},
+		"own load report": func(c *selector.Selector, now time.Time, _ *enroller.Roster, t *enroller.Target) {
+			c.ReportLoad(now, t, selector.LoadReport{Running: 40, Slots: 64})
+		},
+		"prompts": func(c *selector.Selector, now time.Time, r *enroller.Roster, t *enroller.Target) {
+			for n := range uint64(60) {
+				c.Choose(now, r, group, selector.Query{Prefixes: query(n).Prefixes, Excluded: others(r, t)})
+			}
+		},
+		"load report from a peer": func(c *selector.Selector, now time.Time, r *enroller.Roster, t *enroller.Target) {
+			c.ApplyUpdate(now, r, selector.Update{Loads: []selector.TargetLoad{{Target: t.Key().Name(), Calls: 40, At: now}}})
+		},
+		"placements from a peer": func(c *selector.Selector, now time.Time, r *enroller.Roster, t *enroller.Target) {
+			for n := range uint64(60) {
+				c.ApplyUpdate(now, r, selector.Update{Placements: []selector.Placement{{Key: n, Target: t.Key().Name()}}})
+			}
+		},
+		"gone by report of a peer": func(c *selector.Selector, now time.Time, r *enroller.Roster, t *enroller.Target) {
+			c.ReportGone(now, r, t.Process())
+		},
+	}
+}
+
+// others returns the IDs of all targets but one.
+func others(r *enroller.Roster, t *enroller.Target) []string {
+	var o []string
+
+	for id := range r.Known {
+		if id != t.ID {
+			o = append(o, id)
+		}
+	}
+
+	return o
+}
+
+// restarts are ways in which the registry may show a new process under an ID.
+func restarts() map[string]func(e *enroller.Enroller, now time.Time) {
+	return map[string]func(e *enroller.Enroller, now time.Time){
+		"later": func(e *enroller.Enroller, _ time.Time) { e.Set(entry("t0", time.Minute)) },
+		"after a backward clock step": func(e *enroller.Enroller, _ time.Time) {
+			e.Set(entry("t0", -time.Minute))
+		},
+		"at another address": func(e *enroller.Enroller, _ time.Time) {
+			x := entry("t0", time.Minute)
+			x.Address = netip.MustParseAddrPort("10.0.0.9:80")
+			e.Set(x)
+		},
+		"by a full reset": func(e *enroller.Enroller, now time.Time) {
+			e.Reset(now, []enroller.Target{entry("t0", time.Minute), entry("t1", 0), entry("t2", 0), entry("t3", 0)})
+		},
+		"within the grace period after an outage": func(e *enroller.Enroller, now time.Time) {
+			e.Regained(now, time.Minute)
+			e.Remove(now, "t0")
+			e.Set(entry("t0", time.Minute))
+			e.Settle(now.Add(time.Minute))
+		},
+		"after the grace period": func(e *enroller.Enroller, now time.Time) {
+			e.Regained(now, time.Minute)
+			e.Remove(now, "t0")
+			e.Settle(now.Add(time.Minute))
+			e.Set(entry("t0", time.Minute))
+		},
+	}
+}
+
+// An engine crashed and restarted under the same ID. Guards against state of the earlier process that is
+// applied to the new one: calls would fetch prompts that it lost, avoid it because of load that is gone, or
+// find it excluded.
+func TestNewProcessHasNoState(t *testing.T) {
+	for name, observe := range observations() {
+		for how, restart := range restarts() {
+			t.Run(name+", "+how, func(t *testing.T) {
+				is := is.New(t)
+				now := time.Unix(1000, 0)
+				e := fourTargets()
+				c := newSelector()
+				old := e.Roster().Known["t0"]
+
+				observe(c, now, e.Roster(), old)
+
+				restart(e, now)
+				c.ApplyRegistry(now, e.Roster())
+				is.Equal(difference(now, c, e.Roster(), newSelector(), e.Roster()), "")
+			})
+		}
+	}
+}
+
+// An engine restarted under its ID. Calls to the earlier process finish, and other instances that have not
+// read the new entry send updates on the old one. Guards against the new process being excluded, or considered
+// a holder of prompts, because of them.
+func TestLateOutcomesAreIgnoredForNewProcess(t *testing.T) {
+	for name, observe := range observations() {
+		if name == "prompts" || name == "calls in progress" {
+			continue // Only a choice or a start creates this state, and both refer to the current process.
+		}
+
+		t.Run(name, func(t *testing.T) {
+			is := is.New(t)
+			now := time.Unix(1000, 0)
+			e := fourTargets()
+			c := newSelector()
+			old := e.Roster().Known["t0"]
+
+			for range 5 {
+				c.Start(now, old)
+			}
+
+			e.Set(entry("t0", time.Minute))
+			c.ApplyRegistry(now, e.Roster())
+			observe(c, now, e.Roster(), old)
+
+			for range 5 {
+				is.Equal(c.Views(now, e.Roster()), newSelector().Views(now, e.Roster()))
+				c.Finish(now, old, selector.Failed)
+			}
+
+			is.Equal(difference(now, c, e.Roster(), newSelector(), e.Roster()), "")
+			is.Equal(len(c.PendingUpdate().Loads), 0)
+		})
+	}
+}
+
+// Probe dials look for the end of a network partition. Guards against dials that start and fail after their
+// targets were removed from the registry: two of them excluded the data centre, and the state of the targets
+// remained until the next change of the registry.
+func TestCallsToUnlistedProcessAreIgnored(t *testing.T) {
+	for name, o := range map[string]selector.Outcome{
+		"unreachable": selector.Unreachable, "bad": selector.Failed, "gone": selector.Gone, "shed": selector.Shed, "good": selector.Answered,
+	} {
+		t.Run(name, func(t *testing.T) {
+			is := is.New(t)
+			now := time.Unix(1000, 0)
+			e := fourTargets()
+			c := newSelector()
+			old := e.Roster().Known["t0"]
+
+			e.Set(entry("t0", time.Minute))
+			c.ApplyRegistry(now, e.Roster())
+
+			for range 3 {
+				c.Start(now, old)
+				c.ObservePace(now, old, 3)
+				c.ReportLoad(now, old, selector.LoadReport{Running: 40, Slots: 64})
+				c.Finish(now, old, o)
+			}
+
+			is.Equal(len(c.HealthChanges()), 0)
+			is.Equal(len(c.PendingUpdate().Loads), 0)
+			is.Equal(difference(now, c, e.Roster(), newSelector(), e.Roster()), "")
+
+			// The state does not return with the process either.
+			e.Set(entry("t0", 0))
+			c.ApplyRegistry(now, e.Roster())
+			is.Equal(c.Views(now, e.Roster()), newSelector().Views(now, e.Roster()))
+
+			x, ok := c.Choose(now, e.Roster(), group, query(1000))
+			is.True(ok)
+			is.Equal(x.Usable, 4)
+		})
+	}
+}
+
+// The registry shows the same process again, by a heartbeat or within the grace period after an outage. Guards
+// against state that is dropped then: after each outage all prompts would be computed again.
+func TestSameProcessKeepsState(t *testing.T) {
+	for name, observe := range observations() {
+		for how, change := range map[string]func(e *enroller.Enroller, now time.Time){
+			"a heartbeat": func(e *enroller.Enroller, _ time.Time) { e.Set(entry("t0", 0)) },
+			"a full reset": func(e *enroller.Enroller, now time.Time) {
+				e.Reset(now, []enroller.Target{entry("t0", 0), entry("t1", 0), entry("t2", 0), entry("t3", 0)})
+			},
+			"readmitted within the grace period": func(e *enroller.Enroller, now time.Time) {
+				e.Regained(now, time.Minute)
+				e.Remove(now, "t0")
+				e.Set(entry("t0", 0))
+				e.Settle(now.Add(time.Minute))
+			},
+			"another restarted": func(e *enroller.Enroller, _ time.Time) { e.Set(entry("t1", time.Minute)) },
+		} {
+			t.Run(name+", "+how, func(t *testing.T) {
+				is := is.New(t)
+				now := time.Unix(1000, 0)
+				e := fourTargets()
+				c, d := newSelector(), newSelector()
+				r := e.Roster()
+
+				observe(c, now, r, r.Known["t0"])
+				observe(d, now, r, r.Known["t0"])
+
+				change(e, now)
+				c.ApplyRegistry(now, e.Roster())
+
+				is.Equal(difference(now, c, e.Roster(), d, r), "")
+				observe(d, now, r, r.Known["t0"])
+				is.True(difference(now, d, r, newSelector(), r) != "") // The observation has an effect.
+			})
+		}
+	}
+}
+
+// A process is listed at another address. Its prompts and calls remain, while its health status is reset: a
+// connection or a call failed at the other address.
+func TestMovedProcessResetsHealth(t *testing.T) {
+	kept := map[string]bool{
+		"prompts": true, "calls in progress": true, "own load report": true, "shed": true,
+		"load report from a peer": true, "placements from a peer": true,
+	}
+
+	for name, observe := range observations() {
+		t.Run(name, func(t *testing.T) {
+			is := is.New(t)
+			now := time.Unix(1000, 0)
+			e := fourTargets()
+			c := newSelector()
+			old := e.Roster().Known["t0"]
+
+			c.Start(now, old)
+			observe(c, now, e.Roster(), old)
+
+			x := entry("t0", 0)
+			x.Address = netip.MustParseAddrPort("10.0.0.9:80")
+			e.Set(x)
+			c.ApplyRegistry(now, e.Roster())
+			c.Finish(now, old, selector.Unreachable) // The outcome refers to the earlier address.
+
+			is.Equal(difference(now, c, e.Roster(), newSelector(), e.Roster()) != "", kept[name])
+		})
+	}
+}
+
+// A process is listed in another group. Its health status is reset too, since it was slow by the measure of
+// the earlier group.
+func TestProcessMovesToAnotherGroup(t *testing.T) {
+	for name, observe := range observations() {
+		t.Run(name, func(t *testing.T) {
+			is := is.New(t)
+			now := time.Unix(1000, 0)
+			e := fourTargets()
+			c := newSelector()
+			old := e.Roster().Known["t0"]
+
+			c.Start(now, old)
+			observe(c, now, e.Roster(), old)
+
+			b := c.Views(now, e.Roster())[0].Load
+			x := entry("t0", 0)
+			x.Group = "others"
+			e.Set(x)
+			c.ApplyRegistry(now, e.Roster())
+
+			v := c.Views(now, e.Roster())[0]
+			is.Equal(v, selector.View{Target: e.Roster().Known["t0"], Load: b})
+
+			c.Finish(now, old, selector.Failed)
+			is.Equal(c.Views(now, e.Roster())[0].Load, b-1)
+
+			// A call without a prompt treats it like a target without state.
+			y, ok := c.Choose(now.Add(time.Second), e.Roster(), "others", selector.Query{})
+			is.True(ok)
+			is.Equal(y.Usable, 1)
+		})
+	}
+}
+
+// The entry of a process lapses because its heartbeats are late, and the process is listed again later. Guards
+// against running calls that are no longer counted, or whose ends are subtracted from the count of others.
+func TestCallsAreCountedAcrossAbsence(t *testing.T) {
+	is := is.New(t)
+	now := time.Unix(1000, 0)
+	e := fourTargets()
+	c := newSelector()
+	old := e.Roster().Known["t0"]
+
+	for range 3 {
+		c.Start(now, old)
+	}
+
+	e.Remove(now, "t0")
+	c.ApplyRegistry(now, e.Roster())
+	c.Finish(now, old, selector.Failed)
+
+	e.Set(entry("t0", 0))
+	c.ApplyRegistry(now, e.Roster())
+	is.Equal(c.Views(now, e.Roster())[0].Load, 2.0)
+
+	for range 2 {
+		c.Finish(now, old, selector.Answered)
+	}
+
+	is.Equal(c.Views(now, e.Roster())[0].Load, 0.0)
+}
+
+// Two targets share a short name. Guards against state of one that is applied to the other: an update from
+// another instance that uses the short name may refer to either and must be ignored.
+func TestTargetsWithSameShortName(t *testing.T) {
+	const a, b = "t-30705", "t-94990"
+
+	for name, observe := range observations() {
+		t.Run(name, func(t *testing.T) {
+			is := is.New(t)
+			now := time.Unix(1000, 0)
+			e := enroller.New(enroller.DefaultSettings())
+
+			for _, id := range []string{a, b} {
+				x := entry(id, 0)
+				x.Start = time.Time{}
+				e.Set(x)
+			}
+
+			r := e.Roster()
+			is.Equal(r.Known[a].Key().Name(), r.Known[b].Key().Name())
+
+			c, f := newSelector(), newSelector()
+			observe(c, now, r, r.Known[a])
+
+			// Only b is queried, and only a was observed.
+			is.Equal(c.Views(now, r)[1], f.Views(now, r)[1])
+
+			for n := range uint64(60) {
+				q := selector.Query{Prefixes: query(n).Prefixes, Excluded: []string{a}}
+				x, _ := c.Choose(now, r, group, q)
+				y, _ := f.Choose(now, r, group, q)
+				is.Equal(x.Cached, y.Cached)
+				is.Equal(x.Load, y.Load)
+				is.Equal(x.Usable, y.Usable)
+
+				if name == "placements from a peer" {
+					is.Equal(x.Source, nil) // Neither target is considered a holder.
+				}
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/selector/selector.go
@@ -0,0 +1,308 @@
+// Package selector selects the target for a call: one that has the prompt prefix cached, unless the load of
+// that target exceeds its bound.
+package selector
+
+import (
+	"slices"
+	"time"
+
+	"github.com/auburntray/auburntray/internal/confiner"
+	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/suppressor"
+	"github.com/auburntray/auburntray/internal/throttler"
+)
+
+// Settings bounds the load of a target.
+type Settings struct {
+	// Factor is the multiple of the mean load up to which a target is assigned calls whose prompts it has
+	// cached.
+	Factor float64
+	// Slack is how many calls a target may have beyond that multiple, so that chats do not move between
+	// targets at low load.
+	Slack float64
+	// RemotePenalty is added to the load per slot of targets in other data centres when a call without a
+	// prompt is assigned, so that such calls prefer the data centre of this instance.
+	RemotePenalty float64
+}
+
+// DefaultSettings returns the settings of a gateway.
+func DefaultSettings() Settings {
+	return Settings{Factor: factorMargin * defaultMaxFactor, Slack: 3, RemotePenalty: 0.5}
+}
+
+const (
+	// defaultMaxFactor is the multiple of the mean load that a target may have if none is configured.
+	defaultMaxFactor = 2
+	// factorMargin is the fraction of the permitted multiple up to which targets are filled. It leaves a
+	// margin because load reports are slightly out of date.
+	factorMargin = 0.85
+	// minFactor leaves headroom above the mean; without it calls would be declined by one target after the
+	// other.
+	minFactor = 1.1
+)
+
+// WithMaxFactor returns the settings for targets that may have the given multiple of the mean load. Zero leaves the
+// settings unchanged.
+func (s Settings) WithMaxFactor(factor float64) Settings {
+	if factor > 0 {
+		s.Factor = max(factorMargin*factor, minFactor)
+	}
+
+	return s
+}
+
+// Prefix is a prefix of a prompt: the hash of its parts and its length in tokens.
+type Prefix struct {
+	Key    uint64
+	Tokens int
+}
+
+// Query describes a call.
+type Query struct {
+	// Prefixes are the prefixes of the prompt that other calls share, the longest first. It is empty for calls
+	// without a prompt.
+	Prefixes []Prefix
+	// DataCentre is the data centre of this instance.
+	DataCentre string
+	// Excluded are the IDs of the targets that the call was already sent to.
+	Excluded []string
+	// Declined is how many targets were found full since the call was last sent to one.
+	Declined int
+	// Draw is a number derived from the call. It spreads calls over targets that are equally suitable.
+	Draw uint64
+	// Customer is the hash of the call's customer.
+	Customer uint64
+	// Sharded applies shuffle sharding: the call is only sent to targets in the customer's shard.
+	Sharded bool
+	// Centres are the data centres that the call may be sent to; nil permits all.
+	Centres map[string]bool
+	// ColdRate is how many calls a second a cold target of the group can serve; zero means no bound. ColdFor
+	// is how long a target is cold after its start.
+	ColdRate float64
+	ColdFor  time.Duration
+}
+
+// SetThrottle replaces the settings of the bound on calls to cold targets.
+func (c *Selector) SetThrottle(s throttler.Settings) {
+	c.throttler.Set(s)
+}
+
+// allows reports whether the call may be sent to the data centre of a target.
+func (q *Query) allows(t *enroller.Target) bool {
+	return q.Centres == nil || q.Centres[t.DataCentre]
+}
+
+// Choice is the target selected for a call.
+type Choice struct {
+	Target *enroller.Target
+	// Source is a target that has the prompt cached if Target has not; nil if Target has it, or if none is
+	// known.
+	Source *enroller.Target
+	// Load is the estimated number of calls at Target, Bound the number it may have, and Usable the number of
+	// targets there were to select from.
+	Load, Bound float64
+	Usable      int
+	// Cached reports whether Target was known to have the prompt cached.
+	Cached bool
+	// Cold is the number of targets that were skipped because they are cold. Throttled reports whether Target
+	// is cold too; its response time then does not indicate how it performs once warm.
+	Cold      int
+	Throttled bool
+	// BackingOff is the number of targets that were skipped during a backoff.
+	BackingOff int
+	// MedianPace is the median pace of the targets of the group: the time until an answer begins, as a fraction of
+	// the time within which it is fully useful. Zero if unknown.
+	MedianPace float64
+
+	// prefixes are the prefixes of the prompt, and fresh the keys of those that Target was not known to have
+	// cached.
+	prefixes []Prefix
+	fresh    []uint64
+}
+
+// LoadReport is the load that a target reported with its answer to a call.
+type LoadReport struct {
+	// Running and Waiting count the calls of all instances. Slots is zero if the target does not report its
+	// number of slots.
+	Running, Waiting, Slots int
+}
+
+// Selector selects targets and counts the calls of this instance at each of them. It is not safe for concurrent
+// use.
+type Selector struct {
+	settings Settings
+	// states has an entry for each process of which more than a placement is known.
+	states map[enroller.Key]*state
+	// listed are the processes in the registry at its last change; nil before the first.
+	listed map[enroller.Key]*enroller.Target
+	// departed are the processes that were recently removed from the registry.
+	departed   departures
+	loads      []TargetLoad
+	health     *health
+	placements *placements
+	// suppressor tracks the targets that asked this instance for a backoff.
+	suppressor *suppressor.Suppressor[enroller.Key]
+	// throttler bounds the calls to cold targets. fleet returns the state of all instances.
+	throttler *throttler.Throttler
+	fleet     func() throttler.Fleet
+}
+
+// New returns a selector without calls. Until Throttle is called, it assumes that this instance is the only
+// one.
+func New(s Settings) *Selector {
+	c := &Selector{settings: s, states: make(map[enroller.Key]*state), departed: make(departures), health: newHealth(), placements: newPlacements(), suppressor: suppressor.New[enroller.Key]()}
+	c.Throttle(throttler.DefaultSettings(), func() throttler.Fleet {
+		return throttler.Fleet{Live: []uint64{0}, Most: 1, Settled: true}
+	})
+
+	return c
+}
+
+// Throttle sets the bound on the calls to cold targets and the source of the state of all instances.
+func (c *Selector) Throttle(s throttler.Settings, fleet func() throttler.Fleet) {
+	c.throttler, c.fleet = throttler.New(s), fleet
+}
+
+// Choose selects a target of a group for a call and counts the call at throttled or recovering targets. It
+// returns false if the group has no target that may be used.
+func (c *Selector) Choose(now time.Time, r *enroller.Roster, group string, q Query) (Choice, bool) {
+	g := r.Groups[group]
+	if q.Sharded {
+		g = confiner.Part(q.Customer, g)
+	}
+
+	all := c.candidates(now, r, g, &q)
+	ready, _ := c.withoutBackoff(now, all)
+	open := c.admissible(now, ready, &q)
+	backingOff, cold := len(all)-len(ready), len(ready)-len(open)
+
+	l, u, usual := c.health.usable(now, group, open)
+	u = filterOrAll(u, func(x candidate) bool { return !x.shed })
+
+	if len(u) == 0 {
+		return Choice{Cold: cold, BackingOff: backingOff}, false
+	}
+
+	if len(open) < len(all) {
+		l = c.loadBaseline(now, l, all)
+	}
+
+	if len(q.Prefixes) == 0 {
+		x := pickLeastLoaded(u, q.DataCentre, c.settings.RemotePenalty, q.Draw)
+		c.recordSent(now, x)
+
+		return Choice{
+			Target: x.target, Load: x.load, Bound: float64(x.target.Slots), Usable: len(u), MedianPace: usual,
+			Cold: cold, Throttled: x.cold, BackingOff: backingOff,
+		}, true
+	}
+
+	h := c.placements.holders(now, q.Prefixes[0].Key)
+	bound := c.settings.bound(l, c.candidates(now, r, r.Closed[group], &Query{}))
+	x := pickForPrompt(u, bound, h, q)
+	n := x.target.Key()
+	c.recordSent(now, x)
+
+	o := Choice{
+		Target: x.target, Source: c.fetchSource(now, r, u, n, h, &q),
+		Load: x.load, Bound: bound, Usable: len(u), Cached: slices.Contains(h, n), MedianPace: usual, Cold: cold, Throttled: x.cold,
+		BackingOff: backingOff, prefixes: q.Prefixes,
+	}
+
+	for _, p := range q.Prefixes {
+		if c.placements.recordUse(now, p.Key, n) {
+			o.fresh = append(o.fresh, p.Key)
+		}
+	}
+
+	return o, true
+}
+
+// fetchSource returns a target from which the selected one may fetch the prompt, or its longest prefix cached
+// anywhere; nil if there is none. If no target is known to have the prompt cached, it is the first target in
+// the rendezvous order of the prompt.
+//
+// After the loss of all instances the placements are unknown, while the engines still have the prompts cached
+// and all callers return at once. The first target in the order served the prompt before; calls beyond its
+// bound are assigned to the next ones, each of which would otherwise compute the prompt again.
+func (c *Selector) fetchSource(
+	now time.Time, r *enroller.Roster, usable []candidate, target enroller.Key, holders []enroller.Key, q *Query,
+) *enroller.Target {
+	l := q.Prefixes
+	if len(holders) == 0 && l[0].Tokens >= minFetchTokens {
+		if f := firstRanked(usable, l[0].Key); f.Key() != target {
+			return f
+		}
+	}
+
+	return c.knownSource(now, r, target, q)
+}
+
+// minFetchTokens is the minimum prefix length for a fetch from another target. Computing a shorter prefix
+// takes no longer than fetching it.
+const minFetchTokens = 200
+
+// knownSource returns a target from which the selected one may fetch the longest prefix of the prompt that is
+// cached anywhere; nil if the selected target has the same prefix cached itself.
+func (c *Selector) knownSource(now time.Time, r *enroller.Roster, target enroller.Key, q *Query) *enroller.Target {
+	for _, p := range q.Prefixes {
+		if p.Tokens < minFetchTokens {
+			return nil
+		}
+
+		h := c.placements.holders(now, p.Key)
+		if slices.Contains(h, target) {
+			return nil
+		}
+
+		for _, n := range h {
+			if t, ok := r.Processes[n]; ok && q.allows(t) && c.health.healthy(now, t) {
+				return t
+			}
+		}
+
+		for _, n := range h {
+			if t, ok := c.departed.source(now, n); ok && q.allows(t) {
+				return t
+			}
+		}
+	}
+
+	return nil
+}
+
+// Fullness returns the number of calls per slot at the targets of a group. Above one, calls wait. It is zero
+// if the targets do not report their slots.
+func (c *Selector) Fullness(now time.Time, r *enroller.Roster, group string) float64 {
+	n, s := 0.0, 0
+
+	for _, t := range r.Groups[group] {
+		n += c.load(now, t)
+		s += t.Slots
+	}
+
+	if s == 0 {
+		return 0
+	}
+
+	return n / float64(s)
+}
+
+func (c *Selector) load(now time.Time, t *enroller.Target) float64 {
+	if s, ok := c.states[t.Key()]; ok {
+		return s.load(now)
+	}
+
+	return 0
+}
+
+// state returns the load state of a target's process, which is created if necessary.
+func (c *Selector) state(t *enroller.Target) *state {
+	s, ok := c.states[t.Key()]
+	if !ok {
+		s = &state{target: t, unlisted: c.listed != nil && c.listed[t.Key()] == nil}
+		c.states[t.Key()] = s
+	}
+
+	return s
+}
--- /dev/null
+++ b/internal/selector/update.go
@@ -0,0 +1,74 @@
+package selector
+
+import (
+	"slices"
+	"time"
+
+	"github.com/auburntray/auburntray/internal/enroller"
+)
+
+// callFinishedAge is the age of a load report from which the call that carried it is assumed to have finished.
+// A call takes some hundred milliseconds.
+const callFinishedAge = 500 * time.Millisecond
+
+// Update holds the placements and load reports that instances send to each other.
+type Update struct {
+	Placements []Placement
+	Loads      []TargetLoad
+}
+
+// ApplyUpdate applies another instance's update for the processes of a registry. Entries for other processes, and
+// for names that two processes share, are ignored: they may refer to an earlier process that the other
+// instance does not know to have ended.
+func (c *Selector) ApplyUpdate(now time.Time, r *enroller.Roster, n Update) {
+	for _, p := range n.Placements {
+		if t, ok := r.Names[p.Target]; ok {
+			c.placements.recordPeer(now, p.Key, t.Key())
+		}
+	}
+
+	for _, l := range n.Loads {
+		if t, ok := r.Names[l.Target]; ok {
+			c.state(t).report(l.At, l.callsAt(now))
+		}
+	}
+}
+
+// ReportGone applies another instance's notification that a process has been replaced at its address. Another
+// process under the same ID is not affected.
+func (c *Selector) ReportGone(now time.Time, r *enroller.Roster, p enroller.Process) {
+	if t, ok := r.Processes[p.Key()]; ok && !c.state(t).unlisted {
+		c.health.reportGone(now, t)
+	}
+}
+
+// PendingUpdate returns the pending update for other instances and clears it: placements that they may not know and the
+// latest load report of each target.
+func (c *Selector) PendingUpdate() Update {
+	n := Update{Placements: c.placements.drain()}
+	k := make(map[enroller.Name]bool, len(c.loads))
+
+	for _, l := range slices.Backward(c.loads) {
+		if !k[l.Target] {
+			k[l.Target] = true
+			n.Loads = append(n.Loads, l)
+		}
+	}
+
+	c.loads = nil
+
+	return n
+}
+
+// callsAt estimates the number of calls at a target from an earlier load report.
+//
+// The report is part of the answer to a call and counts that call too. With hundreds of instances a report is
+// about a second old on arrival, and the call has finished. If it were still counted, the mean would be one
+// too high, and every target could exceed its bound by two calls.
+func (l TargetLoad) callsAt(now time.Time) int {
+	if now.Sub(l.At) < callFinishedAge {
+		return l.Calls
+	}
+
+	return max(l.Calls-1, 0)
+}
--- a/internal/sender/health.go
+++ b/internal/sender/health.go
@@ -11,7 +11,7 @@
 
 	"github.com/auburntray/auburntray/internal/exchanger"
 	"github.com/auburntray/auburntray/internal/keeper"
-	"github.com/auburntray/auburntray/internal/sparer"
+	"github.com/auburntray/auburntray/internal/suppressor"
 	"github.com/auburntray/auburntray/internal/tracker"
 )
 
@@ -56,7 +56,7 @@
 		o.State = tracker.State{Incarnation: n, Leaving: h.Get(exchanger.TargetLeaving) == "true"}
 	}
 
-	o.Rest = sparer.Seconds(h.Get("Retry-After"))
+	o.Rest = suppressor.ParseRetryAfter(h.Get("Retry-After"))
 
 	return o
 }
--- /dev/null
+++ b/internal/suppressor/suppressor.go
@@ -0,0 +1,124 @@
+// Package suppressor decides which targets an instance sends no calls to, because they refused one and asked for a
+// backoff, as with a Retry-After header.
+//
+// Load pattern: a few of many engines are overloaded and refuse every call, stating how long they want none.
+// The calls whose prompts they have cached return to them again and again, since they appear idle, and each
+// costs its caller an attempt. When the backoff expires, all waiting calls would arrive at once and overload
+// the engines again.
+//
+// A backoff is observed until it expires, even if no other target remains: refusing the call with the remaining
+// time serves the caller better than a call that the target refuses. After expiry a single probe call is
+// permitted, and more with each call that is answered.
+package suppressor
+
+import (
+	"time"
+)
+
+const (
+	// maxBackoff bounds a backoff, so that a target that states an absurd time is tried again eventually.
+	maxBackoff = 10 * time.Minute
+	// recoveryAnswers is how many answers after a backoff lift the limit on concurrent probe calls.
+	recoveryAnswers = 4
+	// probeTimeout is how long a probe call may be unanswered before another is permitted.
+	probeTimeout = time.Second
+	// probeRetryDelay is the wait that is reported while a probe call is unanswered.
+	probeRetryDelay = 200 * time.Millisecond
+	// retention is how long an expired backoff is remembered if no call follows it.
+	retention = time.Minute
+)
+
+// backoff is the state of a target that has asked for no calls.
+type backoff struct {
+	until time.Time
+	// sent counts the calls sent after expiry, the latest of them at lastSent. answered counts the answers
+	// that have begun since.
+	sent, answered int
+	lastSent       time.Time
+}
+
+// Suppressor holds the backoffs of targets, which have keys of the type K. It is not safe for concurrent use.
+type Suppressor[K comparable] struct {
+	backoffs map[K]*backoff
+}
+
+// New returns a suppressor without backoffs.
+func New[K comparable]() *Suppressor[K] {
+	return &Suppressor[K]{backoffs: make(map[K]*backoff)}
+}
+
+// StartBackoff starts a backoff of a target. A shorter backoff does not replace a longer one, since the answers to
+// calls that were sent together may arrive in any order.
+func (s *Suppressor[K]) StartBackoff(now time.Time, k K, d time.Duration) {
+	s.expire(now)
+
+	u := now.Add(min(d, maxBackoff))
+
+	r, ok := s.backoffs[k]
+	if ok && r.until.After(u) {
+		u = r.until
+	}
+
+	s.backoffs[k] = &backoff{until: u}
+}
+
+// InBackoff reports whether the backoff of a target has not expired yet.
+func (s *Suppressor[K]) InBackoff(now time.Time, k K) bool {
+	r, ok := s.backoffs[k]
+
+	return ok && now.Before(r.until)
+}
+
+// Wait returns the time until a call may be sent to a target; zero if it may be sent now.
+func (s *Suppressor[K]) Wait(now time.Time, k K) time.Duration {
+	r, ok := s.backoffs[k]
+
+	switch {
+	case !ok:
+		return 0
+	case now.Before(r.until):
+		return r.until.Sub(now)
+	case r.sent-r.answered <= r.answered || now.Sub(r.lastSent) >= probeTimeout:
+		return 0
+	default:
+		return probeRetryDelay
+	}
+}
+
+// Sent counts a call that is sent to a target.
+func (s *Suppressor[K]) Sent(now time.Time, k K) {
+	if r, ok := s.backoffs[k]; ok {
+		r.sent++
+		r.lastSent = now
+	}
+}
+
+// Withdraw reverts Sent for a call that was not sent after all.
+func (s *Suppressor[K]) Withdraw(k K) {
+	if r, ok := s.backoffs[k]; ok {
+		r.sent = max(r.sent-1, 0)
+	}
+}
+
+// Answered records that a target has begun to answer a call. Answers during a backoff, or to calls sent before
+// it expired, are ignored: they do not show that the target has recovered.
+func (s *Suppressor[K]) Answered(now time.Time, k K) {
+	r, ok := s.backoffs[k]
+	if !ok || now.Before(r.until) || r.sent == r.answered {
+		return
+	}
+
+	r.answered++
+	if r.answered >= recoveryAnswers {
+		delete(s.backoffs, k)
+	}
+}
+
+// expire drops the backoffs that expired at least the retention period ago.
+func (s *Suppressor[K]) expire(now time.Time) {
+	for k, r := range s.backoffs {
+		if now.Sub(r.until) >= retention {
+			delete(s.backoffs, k)
+		}
+	}
+}
--- a/internal/tallier/replay_test.go
+++ b/internal/tallier/replay_test.go
@@ -10,8 +10,8 @@
 
 	"github.com/matryer/is"
 
-	"github.com/auburntray/auburntray/internal/chooser"
 	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/selector"
 	"github.com/auburntray/auburntray/internal/tallier"
 )
 
@@ -57,7 +57,7 @@
 type replay struct {
 	random   *rand.Rand
 	roster   *enroller.Roster
-	choosers []*chooser.Chooser
+	choosers []*selector.Selector
 	tallier  *tallier.Tallier
 	calls    queue
 	at       map[string]int
@@ -80,8 +80,8 @@
 	r := &replay{random: rand.New(rand.NewPCG(1, 2)), roster: e.Roster(), at: make(map[string]int)}
 
 	for range instances {
-		c := chooser.New(chooser.DefaultSettings())
-		c.Forget(time.Unix(0, 0), r.roster)
+		c := selector.New(selector.DefaultSettings())
+		c.ApplyRegistry(time.Unix(0, 0), r.roster)
 		r.choosers = append(r.choosers, c)
 	}
 
@@ -114,14 +114,14 @@
 		r.over++
 	}
 
-	r.choosers[n].Report(now, x.target, chooser.Report{Running: r.at[x.target.ID], Slots: x.target.Slots})
+	r.choosers[n].ReportLoad(now, x.target, selector.LoadReport{Running: r.at[x.target.ID], Slots: x.target.Slots})
 }
 
 func (r *replay) choose(now time.Time, n int, key uint64, id tallier.ID) *enroller.Target {
 	c := r.choosers[n]
 
 	for i := 1; ; i++ {
-		o, _ := c.Choose(now, r.roster, "g", chooser.Query{Prefixes: []chooser.Prefix{{Key: key, Tokens: 1000}}, Declined: i - 1, Draw: id.Number})
+		o, _ := c.Choose(now, r.roster, "g", selector.Query{Prefixes: []selector.Prefix{{Key: key, Tokens: 1000}}, Declined: i - 1, Draw: id.Number})
 		c.Start(now, o.Target)
 
 		if r.tallier == nil {
@@ -142,7 +142,7 @@
 	for len(r.calls) > 0 && !r.calls[0].ends.After(now) {
 		x := heap.Pop(&r.calls).(running)
 		r.at[x.target.ID]--
-		r.choosers[x.by].Finish(now, x.target, chooser.Good)
+		r.choosers[x.by].Finish(now, x.target, selector.Answered)
 
 		if r.tallier != nil {
 			r.tallier.Release(now, x.target.Key().Name(), x.id, tallier.Well, 0)
@@ -152,11 +152,11 @@
 
 // tell has one instance tell all others what it saw.
 func (r *replay) tell(now time.Time, n int) {
-	w := r.choosers[n].News()
+	w := r.choosers[n].PendingUpdate()
 
 	for m, c := range r.choosers {
 		if m != n {
-			c.Learn(now, r.roster, w)
+			c.ApplyUpdate(now, r.roster, w)
 		}
 	}
 }
