--- a/internal/forwarder/admit.go
+++ b/internal/forwarder/admit.go
@@ -12,21 +12,23 @@
 )
 
 const (
-	// leaveFactor is how many times later than it should an answer begins when
-	// callers leave.
-	leaveFactor = 4
-	// busy is the load per slot of a group from which some of its targets may have
-	// lines: none has more than twice the mean. Below it a late answer has another
-	// cause, a prompt that is read for the first time say.
-	busy = 0.5
-	// full is the load from which calls wait at the targets on average. Below it none
-	// is refused.
-	full = 1.0
+	// abandonFactor is the multiple of the latency objective after which callers abandon a call
+	// that has not begun to answer.
+	abandonFactor = 4
+	// minLaneLoad is the load per slot of a group below which calls are not divided into lanes. No
+	// target has more than twice the mean load, so below this value no calls wait at any target,
+	// and a late answer has another cause, such as a prompt that is read for the first time.
+	minLaneLoad = 0.5
+	// saturatedLoad is the load per slot from which calls wait at the average target. Below it no
+	// call is refused.
+	saturatedLoad = 1.0
 )
 
-// admit says whether a call goes ahead of those that can't begin in time any more,
-// behind them, or back to its caller at once. Only streams have lines at their
-// targets that tell calls apart; others are turned away by targets that are full.
+// admit decides whether a call is sent ahead of the calls that can no longer begin within their
+// latency objective, behind them, or refused. A lane holds the calls of one priority class, with
+// those that are expected to be late in a lane of their own. Only streams are admitted by lane,
+// since only their targets order waiting calls by priority; targets refuse other calls when they
+// are full.
 func (f *Forwarder) admit(x *exchange) error {
 	if x.rule.Kind != cataloger.Stream || x.rule.Latency <= 0 {
 		return nil
@@ -38,29 +40,29 @@
 	n := time.Now()
 	l := admitter.Lane{Group: x.group, Priority: x.priority}
 
-	u := f.chooser.Fullness(n, f.facts.Roster(), x.group)
-	if u < busy {
+	u := f.chooser.Fullness(n, f.state.Registry(), x.group)
+	if u < minLaneLoad {
 		return nil
 	}
 
-	if x.ticket = f.enter(n, l, x, u, x.rule.Latency); x.ticket != nil {
+	if x.ticket = f.enterLane(n, l, x, u, x.rule.Latency); x.ticket != nil {
 		return nil
 	}
 
 	x.late = true
 	l.Late = true
 
-	x.ticket = f.enter(n, l, x, u, leaveFactor*x.rule.Latency)
-	if x.ticket == nil && u >= full {
-		return refuse(http.StatusServiceUnavailable, Overload, fullWait, "the targets have %.1f calls for each that they run", u)
+	x.ticket = f.enterLane(n, l, x, u, abandonFactor*x.rule.Latency)
+	if x.ticket == nil && u >= saturatedLoad {
+		return refuse(http.StatusServiceUnavailable, Overload, overloadWait, "targets are overloaded: %.1f calls per slot", u)
 	}
 
 	return nil
 }
 
-// enter lets a call into a lane, and logs when the lane begins to turn calls away or
-// no longer does. The lock is held.
-func (f *Forwarder) enter(now time.Time, l admitter.Lane, x *exchange, fullness float64, within time.Duration) *admitter.Ticket {
+// enterLane admits a call to a lane and logs when the lane starts or stops refusing calls. It
+// returns nil if the call is not admitted. Requires f.mu to be held.
+func (f *Forwarder) enterLane(now time.Time, l admitter.Lane, x *exchange, fullness float64, within time.Duration) *admitter.Ticket {
 	b := f.admitter.Share(l)
 	t := f.admitter.Admit(now, l, hasher.Name(x.customer), within)
 
@@ -74,8 +76,8 @@
 	return t
 }
 
-// release notes that a call is over.
-func (f *Forwarder) release(x *exchange) {
+// releaseTicket informs the admitter that a call is over.
+func (f *Forwarder) releaseTicket(x *exchange) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
--- a/internal/forwarder/admit_test.go
+++ b/internal/forwarder/admit_test.go
@@ -12,29 +12,29 @@
 	"github.com/matryer/is"
 )
 
-// More calls come than a target can begin, and each waits behind all before it until
-// every answer is late. Once some are overdue, a part of the new ones goes behind the
-// others, so that the rest can be in time. While the target has room none does,
-// however late an answer is.
-func TestCallsThatCannotBeInTimeGoBehind(t *testing.T) {
+// Guards against a queue in which every answer becomes late: more calls arrive than a target can
+// begin, and each waits behind all earlier ones. Once some calls are overdue, a part of the new
+// ones must be sent as late, behind the others. While the target has free slots none is, however
+// late an answer is.
+func TestLateCallsAreSentBehindOthers(t *testing.T) {
 	tests := map[string]struct {
 		waiting int
 		late    bool
 	}{
-		"a line":                   {waiting: 16, late: true},
-		"one slow call, much room": {waiting: 1},
+		"many waiting calls":        {waiting: 16, late: true},
+		"one slow call, free slots": {waiting: 1},
 	}
 	for name, x := range tests {
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
-			hold := make(chan struct{})
-			a := &target{answer: func(_ net.Conn, s seen) {
+			release := make(chan struct{})
+			a := &target{answer: func(_ net.Conn, s received) {
 				select {
-				case <-hold:
-				case <-s.gone:
+				case <-release:
+				case <-s.closed:
 				}
 			}}
-			g := front(t, a)
+			g := newGateway(t, a)
 
 			var w sync.WaitGroup
 
@@ -45,7 +45,7 @@
 					var done atomic.Bool
 
 					w.Go(func() {
-						g.call(t, http.MethodPost, "/lined/", "x")
+						g.call(t, http.MethodPost, "/queued/", "x")
 						done.Store(true)
 					})
 
@@ -56,9 +56,9 @@
 			}
 
 			send(x.waiting)
-			time.Sleep(600 * time.Millisecond) // All are overdue.
+			time.Sleep(600 * time.Millisecond) // Longer than abandonFactor times the latency objective.
 			send(10)
-			close(hold)
+			close(release)
 			w.Wait()
 
 			var late bool
--- a/internal/forwarder/attempt.go
+++ b/internal/forwarder/attempt.go
@@ -14,26 +14,26 @@
 	"github.com/auburntray/auburntray/internal/selector"
 )
 
-// maxTried bounds the targets that a call is tried at when they can't be reached.
-// With dialTimeout each, that is about half a second.
-const maxTried = 5
+// maxTargetsTried bounds the targets that a call is tried at while none can be reached. With
+// dialTimeout for each, that takes about half a second.
+const maxTargetsTried = 5
 
-// result is how one attempt ended.
+// result is the outcome of one attempt.
 type result struct {
-	// err is nil when the call has its answer.
+	// err is nil when the call has been answered.
 	err error
-	// notRun says that the target provably did not run the call.
+	// notRun is set when the target provably did not run the call.
 	notRun bool
-	// outcome is what it says of the target.
+	// outcome is what the attempt shows about the target's health.
 	outcome selector.Outcome
-	// answer is an answer that says that the target failed; the caller gets it
-	// when there is no better one.
-	answer *whole
+	// answer is an error answer of the target. It is relayed to the caller if no other attempt
+	// succeeds.
+	answer *bufferedAnswer
 }
 
-// attempts sends a call to targets until one has answered it.
-func (f *Forwarder) attempts(c context.Context, x *exchange) error {
-	x.shared = x.prefixes()
+// runAttempts sends a call to targets until one has answered it or no attempts remain.
+func (f *Forwarder) runAttempts(c context.Context, x *exchange) error {
+	x.sharedPrefixes = x.prefixes()
 	x.group = x.rule.Group(x.splitKey())
 
 	f.countCall(x.group)
@@ -41,7 +41,7 @@
 	if err := f.admit(x); err != nil {
 		return err
 	}
-	defer f.release(x)
+	defer f.releaseTicket(x)
 
 	var last result
 
@@ -56,17 +56,17 @@
 			return nil
 		}
 
-		logrus.WithFields(x.fields()).WithFields(logrus.Fields{
+		logrus.WithFields(x.logFields()).WithFields(logrus.Fields{
 			"event": "attemptFailed", "target": t.Target.ID, "address": t.Target.Address, "notRun": last.notRun, "error": last.err,
 		}).Info()
 
-		if c.Err() != nil || !f.again(x, last) {
+		if c.Err() != nil || !f.mayRetry(x, last) {
 			return f.giveUp(c, x, last)
 		}
 	}
 }
 
-// countCall counts a call of a group for the retry budget.
+// countCall counts a call of a group towards the retry budget.
 func (f *Forwarder) countCall(group string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -74,26 +74,26 @@
 	f.budgeter.Call(time.Now(), group)
 }
 
-// countOut counts a call out at a target and returns what is now believed. Begun says that a
-// part of an answer is with the caller.
-func (f *Forwarder) countOut(t selector.Choice, r result, begun bool) []selector.HealthChange {
+// finishAttempt ends the count of a call at a target and returns the changes of the targets' health
+// status. Relayed is set when a part of an answer has reached the caller.
+func (f *Forwarder) finishAttempt(t selector.Choice, r result, relayed bool) []selector.HealthChange {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
 	f.chooser.Finish(time.Now(), t.Target, r.outcome)
 
-	if r.err != nil && !begun {
+	if r.err != nil && !relayed {
 		f.chooser.RevertPlacements(t)
 	}
 
 	return f.chooser.HealthChanges()
 }
 
-// again says whether a call is sent to one more target.
-func (f *Forwarder) again(x *exchange, r result) bool {
-	// A call that never left this instance costs no target anything.
-	if errors.Is(r.err, errNeverSent) {
-		return len(x.tried) < maxTried
+// mayRetry reports whether the call may be sent to another target. It consumes retry budget if so.
+func (f *Forwarder) mayRetry(x *exchange, r result) bool {
+	// A call that was never sent costs no target anything and needs no retry budget.
+	if errors.Is(r.err, errNotSent) {
+		return len(x.tried) < maxTargetsTried
 	}
 
 	if x.sent >= x.rule.Attempts || !r.notRun && !x.rule.Repeatable() {
@@ -104,62 +104,63 @@
 		return false
 	}
 
-	if _, ok := f.letOut(x); !ok {
+	if _, ok := f.quarantineAllows(x); !ok {
 		return false
 	}
 
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
-	return f.budgeter.Repeat(time.Now(), x.group, f.facts.Instances())
+	return f.budgeter.Repeat(time.Now(), x.group, f.state.Instances())
 }
 
-// giveUp returns the final answer to a call that no target answered.
+// giveUp returns the final answer to a call that no target has answered.
 func (f *Forwarder) giveUp(c context.Context, x *exchange, r result) error {
 	switch {
 	case x.request.Context().Err() != nil:
 		return errors.Mark(errors.Newf("%v", r.err), errCallerLeft)
 	case x.relayed:
 		return r.err
-	case r.answer != nil && !promises(r.answer.status):
+	case r.answer != nil && !impliesNotRun(r.answer.status):
 		r.answer.write(x.writer)
 		x.relayed = true
 
 		return nil
-	case !x.mayHaveRun && x.full:
-		return refuse(http.StatusServiceUnavailable, Overload, failWait, "the targets are full, and so are their lines")
+	case !x.mayHaveRun && x.targetsFull:
+		return refuse(http.StatusServiceUnavailable, Overload, noTargetWait, "all targets are full and their queues are too long")
 	case !x.mayHaveRun:
-		return f.refuseUnplaced(x)
+		return f.refuseUnavailable(x)
 	case c.Err() != nil:
-		return refuse(http.StatusGatewayTimeout, TooLate, 0, "the answer did not come in time")
+		return refuse(http.StatusGatewayTimeout, DeadlineExceeded, 0, "no answer before the deadline")
 	default:
 		return refuse(http.StatusBadGateway, NoAnswer, 0, "the target did not answer")
 	}
 }
 
-// refuseUnplaced returns the refusal of a call that was not run and that no target may take.
-func (f *Forwarder) refuseUnplaced(x *exchange) *Refusal {
-	r := f.facts.Roster()
-	rest := f.rest(x, r)
+// refuseUnavailable returns the refusal of a call that was not run and that no target is available
+// for.
+func (f *Forwarder) refuseUnavailable(x *exchange) *Refusal {
+	r := f.state.Registry()
+	backoff := f.remainingBackoff(x, r)
 
 	switch {
 	case len(r.Groups[x.group]) == 0 && len(r.Closed[x.group]) > 0:
 		return refuse(http.StatusServiceUnavailable, Evacuated, evacuatedWait, "all data centres with targets are evacuated")
 	case len(r.Groups[x.group]) == 0 && r.Leaves(x.group):
-		return refuse(http.StatusServiceUnavailable, Leaving, leavingWait, "all targets leave")
-	case rest > 0:
-		return refuse(http.StatusServiceUnavailable, Resting, afterSpread(rest), "all targets have asked for rest")
-	case x.cold > 0:
-		return refuse(http.StatusServiceUnavailable, Cold, failWait, "%d targets are cold and bear no more calls now", x.cold)
+		return refuse(http.StatusServiceUnavailable, TargetsLeaving, leavingWait, "all targets are shutting down")
+	case backoff > 0:
+		return refuse(http.StatusServiceUnavailable, TargetsBackingOff, afterSpread(backoff), "all targets have requested a backoff")
+	case x.coldTargets > 0:
+		return refuse(http.StatusServiceUnavailable, TargetsCold, noTargetWait, "%d cold targets are at their rate limit", x.coldTargets)
 	default:
-		return refuse(http.StatusServiceUnavailable, NoTarget, failWait, "no target took the call")
+		return refuse(http.StatusServiceUnavailable, NoTarget, noTargetWait, "no target took the call")
 	}
 }
 
-// promises says that callers take a status for the word that a call was not run.
-// A target that answers so without saying it did not run the call must not make
-// that promise in the gateway's name.
-func promises(status int) bool {
+// impliesNotRun reports whether callers take a status to mean that the call was not run. A target's
+// answer with such a status is not relayed if the target did not state that the call was not run:
+// the gateway would promise the caller something that may be false.
+func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return true
@@ -168,7 +169,7 @@
 	}
 }
 
-// attempt sends a call to one target and relays its answer.
+// attempt sends a call to one target and relays the answer.
 func (f *Forwarder) attempt(c context.Context, x *exchange, t selector.Choice) result {
 	c, s := f.tracer.Start(c, "attempt")
 	defer s.End()
@@ -181,44 +182,44 @@
 	x.tried = append(x.tried, t.Target.ID)
 	x.choice = t
 	x.reply = Reply{}
-	x.sentAt = time.Now()
+	x.attemptStart = time.Now()
 
 	if x.rule.Kind == cataloger.Stream {
-		r = f.stream(c, stop, x, t)
+		r = f.streamAttempt(c, stop, x, t)
 	} else {
-		r = f.whole(c, stop, x, t)
+		r = f.bufferedAttempt(c, stop, x, t)
 	}
 
-	if f.learnEnd(c, x, t.Target, r) {
+	if f.detectCrash(c, x, t.Target, r) {
 		r.outcome = selector.Crashed
 	}
 
 	x.mayHaveRun = x.mayHaveRun || !r.notRun
 
-	if !errors.Is(r.err, errNeverSent) {
+	if !errors.Is(r.err, errNotSent) {
 		x.sent++
 	}
 
-	if x.request.Context().Err() != nil || timedOut(c, r.err) && f.facts.Stalled(x.sentAt) {
+	if x.request.Context().Err() != nil || timedOut(c, r.err) && f.state.Stalled(x.attemptStart) {
 		r.outcome = selector.Inconclusive
 	}
 
 	f.meter.Attempt(x.group, r.outcome.String())
 
-	f.tellBeliefs(f.countOut(t, r, x.relayed), logrus.Fields{"id": x.call.ID, "error": r.err})
-	x.room.end(r.outcome)
+	f.reportHealth(f.finishAttempt(t, r, x.relayed), logrus.Fields{"id": x.call.ID, "error": r.err})
+	x.reservation.end(r.outcome)
 
 	return r
 }
 
-// timedOut says that an attempt ended because a time of this instance's own ran out.
+// timedOut reports whether an attempt ended because a time-out of this instance expired.
 func timedOut(c context.Context, err error) bool {
 	return detector.TimedOut(err) || errors.Is(context.Cause(c), errSlow)
 }
 
-// tellBeliefs logs what this instance now believes of targets, with the fields of the call
-// that showed it, and tells other instances of those that it found gone itself.
-func (f *Forwarder) tellBeliefs(l []selector.HealthChange, shown logrus.Fields) {
+// reportHealth logs changes of the targets' health status with the fields of the call that revealed
+// them, and notifies other instances of processes that this instance itself found gone.
+func (f *Forwarder) reportHealth(l []selector.HealthChange, fields logrus.Fields) {
 	for _, b := range l {
 		e := "backInUse"
 		if b.Excluded {
@@ -228,45 +229,45 @@
 		f.meter.Left(string(b.Cause), b.Excluded)
 
 		if b.Cause == selector.TargetGone && b.Excluded && b.Source == selector.Own {
-			f.gone(b.Process)
+			f.notifyGone(b.Process)
 		}
 
-		logrus.WithFields(shown).WithFields(logrus.Fields{"event": e, "cause": b.Cause, "name": b.Name, "source": b.Source}).Info()
+		logrus.WithFields(fields).WithFields(logrus.Fields{"event": e, "cause": b.Cause, "name": b.Name, "source": b.Source}).Info()
 	}
 }
 
-// send sends a call and checks that the answer is one to it.
+// send sends a call to a target and checks that the answer belongs to the call.
 func (f *Forwarder) send(c context.Context, x *exchange, t selector.Choice) (*http.Response, Reply, result) {
-	h := forwarded(x.request.Header)
-	o := Orders{
+	h := endToEndHeaders(x.request.Header)
+	o := AttemptInfo{
 		Incarnation: t.Target.ID, Customer: x.customer, Priority: x.priority, Late: x.late,
-		Left: time.Until(x.deadline), LastEvent: x.lastEvent,
+		Remaining: time.Until(x.deadline), LastEvent: x.lastEvent,
 	}
 
 	if t.Source != nil {
 		o.Source = t.Source.Address
 	}
 
-	f.dialect.Write(h, o)
+	f.dialect.WriteAttempt(h, o)
 
 	a, err := f.client.send(c, x, t.Target, h)
 	if err != nil {
-		if errors.Is(err, errNeverSent) {
-			return nil, Reply{}, result{err: err, notRun: true, outcome: f.unmade(c, t.Target, err)}
+		if errors.Is(err, errNotSent) {
+			return nil, Reply{}, result{err: err, notRun: true, outcome: f.dialOutcome(c, t.Target, err)}
 		}
 
 		return nil, Reply{}, result{err: err, outcome: selector.Failed}
 	}
 
-	p := f.dialect.Answer(a.Header, a.StatusCode)
-	f.heed(x, t.Target, p)
+	p := f.dialect.ReadReply(a.Header, a.StatusCode)
+	f.handleReply(x, t.Target, p)
 
-	// An answer to an earlier call may come late, where that to this one is due.
-	// Its ID shows it; passing it on would give the caller another's answer.
+	// A delayed answer to an earlier call may arrive in place of the answer to this one. Its ID
+	// differs; relaying it would give the caller another caller's answer.
 	if p.ID != x.call.ID && !p.NotRun {
 		_ = a.Body.Close()
 
-		return nil, p, result{err: errors.Mark(errors.Newf("the answer is to call %q", p.ID), errBroken), outcome: selector.Failed}
+		return nil, p, result{err: errors.Mark(errors.Newf("target sent the answer to call %q", p.ID), errBroken), outcome: selector.Failed}
 	}
 
 	if p.NotRun {
@@ -277,22 +278,22 @@
 			w = selector.Gone
 		}
 
-		return nil, p, result{err: errors.Newf("the target turned the call away with status %d", a.StatusCode), notRun: true, outcome: w}
+		return nil, p, result{err: errors.Newf("target refused the call with status %d", a.StatusCode), notRun: true, outcome: w}
 	}
 
 	return a, p, result{}
 }
 
-// read notes that a target has read a call's prompt.
-func (f *Forwarder) read(t selector.Choice) {
+// recordPromptRead records that a target has processed the call's prompt and now caches it.
+func (f *Forwarder) recordPromptRead(t selector.Choice) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
 	f.chooser.ConfirmPlacements(time.Now(), t)
 }
 
-// begun notes how long a target took until its answer began.
-func (f *Forwarder) begun(x *exchange, t selector.Choice) {
+// recordFirstPart records how long the call and the attempt took until the answer began.
+func (f *Forwarder) recordFirstPart(x *exchange, t selector.Choice) {
 	if x.rule.Latency <= 0 {
 		return
 	}
@@ -302,9 +303,9 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
-	f.meter.Began(x.kind(), n.Sub(x.start))
+	f.meter.Began(x.kindLabel(), n.Sub(x.start))
 
-	if f.facts.Stalled(x.sentAt) {
+	if f.state.Stalled(x.attemptStart) {
 		return
 	}
 
@@ -314,17 +315,17 @@
 		return
 	}
 
-	x.room.pace = float64(n.Sub(x.sentAt)) / float64(x.rule.Latency)
-	f.chooser.ObservePace(n, t.Target, x.room.pace)
+	x.reservation.pace = float64(n.Sub(x.attemptStart)) / float64(x.rule.Latency)
+	f.chooser.ObservePace(n, t.Target, x.reservation.pace)
 }
 
-// hopHeaders concern one connection only.
-var hopHeaders = []string{ //nolint:gochecknoglobals // A constant table.
+// hopByHopHeaders concern a single connection only and are not forwarded.
+var hopByHopHeaders = []string{ //nolint:gochecknoglobals // A constant table.
 	"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length",
 }
 
-// forwarded returns the headers that go on to the other side.
-func forwarded(h http.Header) http.Header {
+// endToEndHeaders returns a copy of the headers without the hop-by-hop ones.
+func endToEndHeaders(h http.Header) http.Header {
 	o := h.Clone()
 
 	for _, v := range h["Connection"] {
@@ -333,11 +334,11 @@
 		}
 	}
 
-	for _, n := range hopHeaders {
+	for _, n := range hopByHopHeaders {
 		o.Del(n)
 	}
 
-	// The library adds its own name where there is none.
+	// A nil value keeps net/http from adding its own User-Agent.
 	if _, ok := o["User-Agent"]; !ok {
 		o["User-Agent"] = nil
 	}
--- a/internal/forwarder/bench_test.go
+++ b/internal/forwarder/bench_test.go
@@ -5,16 +5,16 @@
 	"testing"
 )
 
-// BenchmarkCall is the cost of a call through the gateway to a target and back, both
-// ends, the caller and its lines of log in one process.
+// BenchmarkCall measures a call through the gateway to a target and back, with the caller, the
+// target and the logging in one process.
 func BenchmarkCall(b *testing.B) {
-	x := &target{answer: ok}
-	g := front(b, x)
+	x := &target{answer: answerOK}
+	g := newGateway(b, x)
 
 	b.ReportAllocs()
 
 	for b.Loop() {
-		if a := g.call(b, http.MethodGet, "/again/", ""); a.status != http.StatusOK {
+		if a := g.call(b, http.MethodGet, "/idempotent/", ""); a.status != http.StatusOK {
 			b.Fatal(a.status)
 		}
 	}
--- /dev/null
+++ b/internal/forwarder/buffered.go
@@ -0,0 +1,127 @@
+package forwarder
+
+import (
+	"context"
+	"io"
+	"net/http"
+	"strconv"
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"github.com/auburntray/auburntray/internal/cataloger"
+	"github.com/auburntray/auburntray/internal/selector"
+)
+
+const (
+	// maxAnswerBytes bounds the body of an answer that is buffered whole.
+	maxAnswerBytes = 16 << 20
+	// answerWaitFactor is the part of the latency objective that an idempotent call waits for a
+	// target before it is sent to another one, which then still has time to answer. Well over nine
+	// in ten answers arrive earlier.
+	answerWaitFactor = 0.6
+	// streamWaitFactor is the same for the first event of a stream. It is greater because an engine
+	// that reads long prompts is slow for a while, and a second engine would have to read the
+	// prompt again.
+	streamWaitFactor = 1.5
+)
+
+var (
+	errSlow    = errors.New("target too slow; attempt abandoned")
+	errTooLong = errors.New("answer body too long")
+)
+
+// bufferedAnswer is an answer that was read to its end.
+type bufferedAnswer struct {
+	status int
+	header http.Header
+	body   []byte
+}
+
+func (a *bufferedAnswer) write(w http.ResponseWriter) {
+	copyHeader(w.Header(), a.header)
+	w.Header().Set("Content-Length", strconv.Itoa(len(a.body)))
+	w.WriteHeader(a.status)
+	_, _ = w.Write(a.body)
+}
+
+// bufferedAttempt makes an attempt whose answer is read whole before any of it is relayed, so that
+// the call can be sent again if the answer breaks off.
+func (f *Forwarder) bufferedAttempt(c context.Context, stop context.CancelCauseFunc, x *exchange, t selector.Choice) result {
+	if d := f.firstPartTimeout(x); d > 0 {
+		group := x.group
+
+		w := time.AfterFunc(d, func() { f.abandonSlow(t, group, stop) })
+		defer w.Stop()
+	}
+
+	a, p, r := f.send(c, x, t)
+	if r.err != nil {
+		return r
+	}
+
+	defer a.Body.Close() //nolint:errcheck // Read to its end or abandoned.
+
+	b, err := io.ReadAll(io.LimitReader(a.Body, maxAnswerBytes+1))
+	if err == nil && len(b) > maxAnswerBytes {
+		err = errTooLong
+	}
+
+	if err != nil {
+		return result{err: errors.Mark(err, errBroken), outcome: selector.Failed}
+	}
+
+	o := &bufferedAnswer{status: a.StatusCode, header: a.Header, body: b}
+
+	if a.StatusCode >= http.StatusInternalServerError {
+		return result{err: errors.Newf("the target answered with status %d", a.StatusCode), answer: o, outcome: selector.Failed}
+	}
+
+	if a.StatusCode < http.StatusMultipleChoices && !p.Sealed {
+		return result{err: errors.Mark(errors.New("answer has no seal"), errBroken), outcome: selector.Failed}
+	}
+
+	f.recordFirstPart(x, t)
+
+	x.relayed = true
+	x.recordRelay(time.Now())
+	o.write(x.writer)
+
+	return result{}
+}
+
+// firstPartTimeout returns how long an attempt waits for its answer, or for the first event of a
+// stream, before the call is sent to another target. Zero means no time-out, as the call can't be
+// sent again.
+func (f *Forwarder) firstPartTimeout(x *exchange) time.Duration {
+	if !x.rule.Repeatable() || x.sent+1 >= x.rule.Attempts || x.rule.Latency <= 0 {
+		return 0
+	}
+
+	w := answerWaitFactor
+	if x.rule.Kind == cataloger.Stream {
+		w = streamWaitFactor
+	}
+
+	return time.Duration(w * float64(x.rule.Latency))
+}
+
+// abandonSlow cancels an attempt that takes too long, if the call can be sent to another target.
+// Otherwise it lets the attempt continue, since a late answer is better than none. It is called by
+// a timer.
+func (f *Forwarder) abandonSlow(t selector.Choice, group string, stop context.CancelCauseFunc) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+
+	if t.Usable > 1 && f.budgeter.Room(time.Now(), group, f.state.Instances()) {
+		stop(errSlow)
+	}
+}
+
+func copyHeader(to, from http.Header) {
+	for k, v := range endToEndHeaders(from) {
+		if v != nil {
+			to[k] = v
+		}
+	}
+}
--- a/internal/forwarder/client.go
+++ b/internal/forwarder/client.go
@@ -18,16 +18,16 @@
 )
 
 var (
-	// errNeverSent means that nothing of the call has left: it did not run.
-	errNeverSent = errors.New("the call was not sent")
-	// errBroken means that the target's answer did not come, or not whole.
-	errBroken = errors.New("the answer is broken")
+	// errNotSent means that no byte of the call was sent, so it did not run.
+	errNotSent = errors.New("call not sent")
+	// errBroken means that the target's answer is missing, incomplete or not usable.
+	errBroken = errors.New("answer missing or invalid")
 )
 
 const (
-	// dialTimeout bounds a connection to a target. One data centre is about a
-	// millisecond from another; a target that takes this long is not there, and
-	// the call has time to go elsewhere.
+	// dialTimeout bounds the time to connect to a target. Data centres are about a millisecond
+	// apart, so a target that takes this long is unreachable, and the call still has time to be
+	// sent to another one.
 	dialTimeout = 120 * time.Millisecond
 	readBuffer  = 4 << 10
 	writeBuffer = 4 << 10
@@ -36,14 +36,14 @@
 // client sends calls to targets. It is safe for concurrent use.
 type client struct {
 	dial dial
-	// kept keeps connections; fresh makes one for each call.
-	kept  *kept
-	fresh *http.Transport
-	// prober finds out whether a target has ended.
+	// pool reuses connections; singleUse makes a new one for each call.
+	pool      *connPool
+	singleUse *http.Transport
+	// prober finds out whether the process of a target has crashed.
 	prober *prober.Prober
 }
 
-// dial makes a connection.
+// dial makes a connection. It is bounded by dialTimeout.
 type dial func(c context.Context, network, address string) (net.Conn, error)
 
 func newClient(d Dialer) *client {
@@ -56,57 +56,57 @@
 			return nil, err
 		}
 
-		return &counted{Conn: n}, nil
+		return &countingConn{Conn: n}, nil
 	}
 
 	return &client{
 		dial:   f,
 		prober: prober.New(prober.Dial(f)),
-		kept:   newKept(f),
-		// A kept connection may be closed by the target just as a call is sent on
-		// it; whether it ran is then not known. A call that may run once only goes
-		// over a connection of its own.
-		fresh: &http.Transport{
+		pool:   newConnPool(f),
+		// A target may close a pooled connection just as a call is sent on it, and it is then
+		// unknown whether the call ran. A call that must run at most once is therefore sent on a
+		// connection of its own.
+		singleUse: &http.Transport{
 			DialContext: f, DisableCompression: true, DisableKeepAlives: true,
 			ReadBufferSize: readBuffer, WriteBufferSize: writeBuffer,
 		},
 	}
 }
 
-// send sends a call to a target and returns the answer with its body unread.
-// It fails with errNeverSent when provably nothing was sent, else with errBroken.
+// send sends a call to a target and returns the answer with its body unread. It fails with
+// errNotSent if provably nothing was sent, otherwise with errBroken.
 func (k *client) send(c context.Context, x *exchange, t *enroller.Target, h http.Header) (*http.Response, error) {
 	u, err := url.ParseRequestURI(x.request.RequestURI)
 	if err != nil {
-		return nil, errors.Mark(err, errNeverSent)
+		return nil, errors.Mark(err, errNotSent)
 	}
 
 	u.Scheme = "http"
 	u.Host = t.Address.String()
 
-	var n *counted
+	var n *countingConn
 
 	var before int64
 
 	q := &http.Request{
 		Method: x.request.Method, URL: u, Host: x.request.Host, Header: h,
 		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
-		// The library sends a call again by itself when it has no body or can get
-		// it anew. With a body that it can only read once it never does.
+		// http.Transport resends a request by itself if it has no body or GetBody is set. It never
+		// does so with a body that can be read only once.
 		Body: io.NopCloser(bytes.NewReader(x.body)), ContentLength: int64(len(x.body)),
 	}
 	q = q.WithContext(httptrace.WithClientTrace(c, &httptrace.ClientTrace{
 		GotConn: func(i httptrace.GotConnInfo) {
-			n, _ = i.Conn.(*counted)
+			n, _ = i.Conn.(*countingConn)
 			if n != nil {
 				before = n.written.Load()
 			}
 		},
 	}))
 
-	r := k.fresh
+	r := k.singleUse
 	if x.rule.Repeatable() {
-		r = k.kept.to(t)
+		r = k.pool.transport(t)
 	}
 
 	a, err := r.RoundTrip(q)
@@ -115,21 +115,21 @@
 	}
 
 	if n == nil || n.written.Load() == before {
-		return nil, errors.Mark(err, errNeverSent)
+		return nil, errors.Mark(err, errNotSent)
 	}
 
 	return nil, errors.Mark(err, errBroken)
 }
 
-// counted counts what was written to a connection.
-type counted struct {
+// countingConn counts the bytes written to a connection.
+type countingConn struct {
 	net.Conn
 
 	written atomic.Int64
 }
 
-// Write is part of net.Conn.
-func (n *counted) Write(b []byte) (int, error) {
+// Write implements net.Conn.
+func (n *countingConn) Write(b []byte) (int, error) {
 	n.written.Add(int64(len(b)))
 
 	return n.Conn.Write(b)
--- a/internal/forwarder/cold_test.go
+++ b/internal/forwarder/cold_test.go
@@ -10,22 +10,22 @@
 	"github.com/auburntray/auburntray/internal/cataloger"
 )
 
-// Guards against cold targets that are overrun, and against calls that wait for them until their
-// time is over.
-func TestCallsThatOnlyColdTargetsCouldServe(t *testing.T) {
+// Guards against cold targets that receive more calls than their rate limit, and against calls that
+// wait for them until their deadline instead of being refused.
+func TestColdTargetsAreThrottled(t *testing.T) {
 	i := is.New(t)
-	a := &target{answer: ok}
-	g := front(t, a)
+	a := &target{answer: answerOK}
+	g := newGateway(t, a)
 	c, err := cataloger.New(cataloger.Document{
 		Version: 2, Rules: rules(), Groups: []cataloger.Group{{Name: "g", ColdFor: time.Minute, ColdRate: 5}},
 		Customers: []cataloger.Customer{{Name: "customer-1", Keys: []string{"key-1"}}},
 	})
 	i.NoErr(err)
-	g.facts.learn(c)
+	g.state.setCatalog(c)
 
-	x := *g.facts.Roster().Known["t0"]
+	x := *g.state.Registry().Known["t0"]
 	x.Cold = time.Minute
-	g.list(x.Seen(time.Now(), nil))
+	g.setTargets(x.Seen(time.Now(), nil))
 
 	for k := range 8 {
 		o := g.call(t, http.MethodGet, "/once/", "")
--- a/internal/forwarder/dialect.go
+++ b/internal/forwarder/dialect.go
@@ -6,81 +6,83 @@
 	"time"
 )
 
-// Dialect reads and writes what callers and targets say in headers.
+// Dialect maps between HTTP headers and what callers, targets and the gateway tell each other. It
+// must be safe for concurrent use.
 type Dialect interface {
-	// Read returns what a caller says of its call.
-	Read(h http.Header) (Call, error)
-	// Write removes from a call's headers what is not for targets, and adds what
-	// the gateway tells them.
-	Write(h http.Header, o Orders)
-	// Answer returns what a target says of its answer.
-	Answer(h http.Header, status int) Reply
+	// ReadCall returns the description of a call from a caller's headers. It fails if a header is
+	// invalid.
+	ReadCall(h http.Header) (Call, error)
+	// WriteAttempt removes the headers that are not meant for targets from a call's headers and adds those
+	// that the gateway sends to targets.
+	WriteAttempt(h http.Header, o AttemptInfo)
+	// ReadReply returns what the headers and the status of a target's answer say about the call and
+	// the target.
+	ReadReply(h http.Header, status int) Reply
 }
 
-// Call is what a caller says of its call.
+// Call is a call as its caller describes it.
 type Call struct {
-	// ID names the call; each attempt of the caller has its own.
+	// ID identifies the call; each attempt by the caller has its own.
 	ID string
-	// Patience is how long the caller waits; zero when it does not say.
-	Patience time.Duration
-	// Key is the customer's key; empty when there is none.
+	// Timeout is how long the caller waits; zero if not stated.
+	Timeout time.Duration
+	// Key is the customer's API key; empty if there is none.
 	Key string
-	// Prompt is what the call's prompt is made of; empty for other calls.
+	// Prompt describes the call's prompt; empty for calls without one.
 	Prompt Prompt
-	// LastEvent is the ID of the event after which a stream goes on; empty when
-	// it begins.
+	// LastEvent is the ID of the event after which a stream resumes; empty for a stream from its
+	// start.
 	LastEvent string
 }
 
-// Prompt is a chain of parts.
+// Prompt is a sequence of parts.
 type Prompt struct {
 	Model string
-	// Parts are the parts in their order. The last one belongs to the call or to
-	// its chat alone.
+	// Parts are the parts in order. The last one is specific to the call or its chat.
 	Parts []Part
 }
 
-// Part is a part of prompts that several calls may share.
+// Part is a part of a prompt that several calls may share.
 type Part struct {
 	ID     string
 	Tokens int
 }
 
-// Orders are what the gateway tells a target.
-type Orders struct {
-	// Incarnation is the only one that may run the call.
+// AttemptInfo describes an attempt to the target.
+type AttemptInfo struct {
+	// Incarnation identifies the only process that may run the call.
 	Incarnation string
-	// Customer is who calls; empty when no key was asked for.
+	// Customer is the caller's customer; empty if no key was required.
 	Customer string
-	// Left is how long the caller still waits.
-	Left time.Duration
-	// Priority is the rank of the call; zero is the most urgent. Late puts it behind
-	// all others of its rank.
+	// Remaining is the time until the call's deadline.
+	Remaining time.Duration
+	// Priority is the priority class of the call; zero is the most urgent. Late places the call
+	// behind all others of its class.
 	Priority int
 	Late     bool
-	// LastEvent is the ID of the event after which the stream goes on.
+	// LastEvent is the ID of the event after which the stream resumes.
 	LastEvent string
-	// Source is a target that holds the call's prompt, from which this one may
-	// fetch what it lacks; zero when there is none.
+	// Source is a target that caches the call's prompt, from which this one may fetch the parts it
+	// lacks; the zero value if there is none.
 	Source netip.AddrPort
 }
 
-// Reply is what a target says of its answer.
+// Reply describes a target's answer and the state of the target.
 type Reply struct {
-	// ID names the call that the answer belongs to.
+	// ID is the ID of the call that the answer belongs to.
 	ID string
-	// NotRun says that the target did not run the call and never will.
+	// NotRun is set when the target did not run the call and never will.
 	NotRun bool
-	// Sealed says that the answer carries the proof that a target made it.
+	// Sealed is set when the answer carries proof that a target made it.
 	Sealed bool
-	// Misdirected says that another target has the address.
+	// Misdirected is set when another process now has the address.
 	Misdirected bool
-	// Leaving says that the target's process is about to leave and wants no new calls.
+	// Leaving is set when the target's process is about to shut down and accepts no new calls.
 	Leaving bool
-	// Rest is for how long the target wants no calls from this instance, which it has just turned
-	// away; zero when it does not say.
-	Rest time.Duration
-	// Load is how many calls the target runs and has waiting; Slots is how many
-	// it runs at most. All are zero when it does not say.
+	// Backoff is how long the target, which has just refused a call, asks this instance to send none;
+	// zero if not stated.
+	Backoff time.Duration
+	// Running and Waiting are the numbers of calls that the target runs and has queued; Slots is
+	// how many it runs at most. All are zero if not stated.
 	Running, Waiting, Slots int
 }
--- a/internal/forwarder/evacuation_test.go
+++ b/internal/forwarder/evacuation_test.go
@@ -14,7 +14,7 @@
 	"github.com/auburntray/auburntray/internal/tallier"
 )
 
-// evacuate closes data centres; none opens all.
+// evacuate evacuates the given data centres only; without any it ends all evacuations.
 func (g *gateway) evacuate(centres ...string) {
 	c := make(map[string]bool)
 	for _, x := range centres {
@@ -26,74 +26,75 @@
 		r = r.Evacuated(func(x string) bool { return c[x] }, nil)
 	}
 
-	g.facts.mu.Lock()
-	g.facts.roster = r
-	g.facts.mu.Unlock()
+	g.state.mu.Lock()
+	g.state.registry = r
+	g.state.mu.Unlock()
 
-	g.forwarder.Forget(r)
+	g.forwarder.Prune(r)
 }
 
-// slowHomes grant room to each call once a function has run.
-type slowHomes func(t *enroller.Target)
+// hookReserver grants a slot to each call after running a function.
+type hookReserver func(t *enroller.Target)
 
-func (h slowHomes) Reserve(_ context.Context, t *enroller.Target, _ tallier.Request) (tallier.Verdict, reserver.Release) {
+func (h hookReserver) Reserve(_ context.Context, t *enroller.Target, _ tallier.Request) (tallier.Verdict, reserver.Release) {
 	h(t)
 
 	return tallier.Verdict{Outcome: tallier.Granted, Calls: 1}, func(tallier.Sign, float64) {}
 }
 
-func (slowHomes) Report(*enroller.Target, int) {}
+func (hookReserver) Report(*enroller.Target, int) {}
 
-// Guards against a call that reaches an evacuated data centre, by whatever way it was chosen.
-func TestNothingIsSentToAnEvacuatedDataCentre(t *testing.T) {
+// Guards against calls that reach an evacuated data centre, however the target was selected.
+func TestEvacuatedDataCentreReceivesNoCalls(t *testing.T) {
 	for name, x := range map[string]struct {
 		path string
-		// answer is the first target's, and run what happens at a gateway whose calls reach it first.
-		answer func(g *gateway) func(n net.Conn, s seen)
+		// answer returns the answer of the first target, and before runs before the call; calls go
+		// to the first target by preference.
+		answer func(g *gateway) func(n net.Conn, s received)
 		before func(g *gateway)
 		status int
 		calls  []int
 	}{
-		"evacuated before": {
+		"evacuated before the call": {
 			path: "/once/", before: func(g *gateway) { g.evacuate("dc0") }, status: http.StatusOK, calls: []int{0, 1},
 		},
-		"evacuated while its home was asked": {
+		"evacuated during the reservation": {
 			path: "/once/", status: http.StatusOK, calls: []int{0, 1},
 			before: func(g *gateway) {
-				g.forwarder.UseHomes(slowHomes(func(*enroller.Target) { g.evacuate("dc0") }))
+				g.forwarder.SetReserver(hookReserver(func(*enroller.Target) { g.evacuate("dc0") }))
 			},
 		},
-		"a second try": {
-			path: "/again/", status: http.StatusBadGateway, calls: []int{1, 0},
-			answer: func(g *gateway) func(n net.Conn, s seen) {
-				return func(n net.Conn, _ seen) { g.evacuate("dc1"); reset(n) }
+		"second attempt": {
+			path: "/idempotent/", status: http.StatusBadGateway, calls: []int{1, 0},
+			answer: func(g *gateway) func(n net.Conn, s received) {
+				return func(n net.Conn, _ received) { g.evacuate("dc1"); reset(n) }
 			},
 		},
-		"a stream that goes on": {
+		"resumed stream": {
 			path: "/resumable/", calls: []int{1, 0},
-			answer: func(g *gateway) func(n net.Conn, s seen) {
-				return func(n net.Conn, s seen) {
-					begin(n, s)
+			answer: func(g *gateway) func(n net.Conn, s received) {
+				return func(n net.Conn, s received) {
+					beginStream(n, s)
 					chunk(n, event(1))
 					g.evacuate("dc1")
 					reset(n)
 				}
 			},
 		},
-		"everything": {
+		"all data centres": {
 			path: "/once/", before: func(g *gateway) { g.evacuate("dc0", "dc1") }, status: http.StatusServiceUnavailable, calls: []int{0, 0},
 		},
-		"everything but one": {
+		"all but one": {
 			path: "/once/", before: func(g *gateway) { g.evacuate("dc1") }, status: http.StatusOK, calls: []int{1, 0},
 		},
-		"taken back": {
+		"evacuation ended": {
 			path: "/once/", before: func(g *gateway) { g.evacuate("dc0"); g.evacuate() }, status: http.StatusOK, calls: []int{1, 0},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
-			a, b := &target{answer: ok}, &target{answer: ok}
-			g := front(t, a, b)
+			a, b := &target{answer: answerOK}, &target{answer: answerOK}
+			g := newGateway(t, a, b)
 
 			if x.answer != nil {
 				a.answer = x.answer(g)
@@ -105,28 +106,28 @@
 
 			n := time.Now()
 			o := g.call(t, http.MethodGet, x.path, "")
-			i.True(x.status == 0 || o.status == x.status) // A stream that breaks has no status of its own.
+			i.True(x.status == 0 || o.status == x.status) // The status of a broken stream is not checked.
 			i.Equal([]int{a.count(), b.count()}, x.calls)
 
 			if x.status == http.StatusServiceUnavailable {
 				i.True(o.header.Get("Retry-After") != "")
-				i.True(time.Since(n) < 200*time.Millisecond) // At once, and not at its deadline.
+				i.True(time.Since(n) < 200*time.Millisecond) // Immediately, not at the deadline.
 			}
 		})
 	}
 }
 
-// Guards against targets that are all left alone for want of others, and bring an evacuated one
-// back: when most of a group fail, all are used.
-func TestFallbacksDoNotEndAnEvacuation(t *testing.T) {
+// Guards against the fallback to excluded targets, used when most targets of a group fail, which
+// must not select targets of an evacuated data centre.
+func TestFallbackToExcludedTargetsKeepsEvacuation(t *testing.T) {
 	i := is.New(t)
-	a, b := &target{answer: ok}, &target{answer: ok}
-	g := front(t, a, b)
+	a, b := &target{answer: answerOK}, &target{answer: answerOK}
+	g := newGateway(t, a, b)
 	g.evacuate("dc0")
-	b.end()
+	b.refuseConnections()
 
 	for range 10 {
-		i.Equal(g.call(t, http.MethodGet, "/again/", "").status, http.StatusServiceUnavailable)
+		i.Equal(g.call(t, http.MethodGet, "/idempotent/", "").status, http.StatusServiceUnavailable)
 		time.Sleep(20 * time.Millisecond)
 	}
 
--- a/internal/forwarder/exchange.go
+++ b/internal/forwarder/exchange.go
@@ -15,7 +15,7 @@
 	"github.com/auburntray/auburntray/internal/selector"
 )
 
-// exchange is one call on its way. Only the goroutine that serves it touches it.
+// exchange is the state of one call. Only the goroutine that serves the call uses it.
 type exchange struct {
 	writer  http.ResponseWriter
 	request *http.Request
@@ -30,64 +30,65 @@
 	priority int
 	deadline time.Time
 	body     []byte
-	// digest is the same for each sending of the call, under whatever ID.
+	// digest identifies the call's content. It is equal for all sendings of the same call, whatever
+	// their ID.
 	digest digester.Digest
-	// trial ends the sending that was let out of a call under which a target has ended.
-	trial func()
-
-	// shared are the beginnings of the prompt that other calls share.
-	shared []selector.Prefix
-	group  string
-	// tried are the IDs of the targets that were chosen; sent is how many of them
-	// the call was sent to.
+	// endProbe ends a probe call, the one permitted sending of a call that is suspected of crashing
+	// targets; nil while none is in progress.
+	endProbe func()
+
+	// sharedPrefixes are the prompt prefixes that other calls share, longest first.
+	sharedPrefixes []selector.Prefix
+	group          string
+	// tried are the IDs of the targets that were selected; sent is how many of them the call was
+	// sent to.
 	tried []string
 	sent  int
-	// choice is the last choice of a target.
+	// choice is the last target selected.
 	choice selector.Choice
-	// room is what the home of its target said to the last choice.
-	room room
-	// confined says that it goes to its customer's part of the targets only.
-	confined bool
-	// full says that no target that was asked had room, in its line either.
-	full bool
-	// cold is how many targets the last choice left out since they are cold.
-	cold int
-	// resting is how many it left out since they have asked for rest.
-	resting int
-	// reply is what the target of the last choice said of itself.
+	// reservation is the slot reserved for the last choice at the target's home node.
+	reservation reservation
+	// sharded is set when the call may use only its customer's shard of the targets.
+	sharded bool
+	// targetsFull is set when no target that was asked had a free slot or space in its queue.
+	targetsFull bool
+	// coldTargets is how many targets the last selection skipped because they are cold.
+	coldTargets int
+	// backingOff is how many it skipped because they have requested a backoff.
+	backingOff int
+	// reply is the reply of the last target.
 	reply Reply
-	// sentAt is when the present attempt began.
-	sentAt time.Time
-	// ticket is the call's place among those that should begin in time, or, when late
-	// is set, among the others.
+	// attemptStart is when the current attempt began.
+	attemptStart time.Time
+	// ticket is the call's admission to the lane of the calls that should begin within their
+	// latency objective or, if late is set, to the lane of the others.
 	ticket *admitter.Ticket
 	late   bool
-	// mayHaveRun says that one of them may have run it.
+	// mayHaveRun is set when a target may have run the call.
 	mayHaveRun bool
-	// relayed says that a part of the answer is with the caller.
+	// relayed is set when a part of the answer has been sent to the caller.
 	relayed bool
-	// lastEvent is the ID of the last event that is.
+	// lastEvent is the ID of the last event that the caller has.
 	lastEvent string
-	// first is how long after its start the first part of the answer came, and
-	// passed when the last one did; longest is the longest time between two.
-	first, longest time.Duration
-	passed         time.Time
+	// firstPart is the time from the start of the call to the first part of the answer, lastRelay
+	// when the latest part was relayed, and longestGap the longest time between two parts.
+	firstPart, longestGap time.Duration
+	lastRelay             time.Time
 }
 
-// pass notes that a part of the answer goes to the caller.
-func (x *exchange) pass(now time.Time) {
-	if x.passed.IsZero() {
-		x.first = now.Sub(x.start)
+// recordRelay records that a part of the answer is being sent to the caller.
+func (x *exchange) recordRelay(now time.Time) {
+	if x.lastRelay.IsZero() {
+		x.firstPart = now.Sub(x.start)
 	} else {
-		x.longest = max(x.longest, now.Sub(x.passed))
+		x.longestGap = max(x.longestGap, now.Sub(x.lastRelay))
 	}
 
-	x.passed = now
+	x.lastRelay = now
 }
 
-// prefixes returns the hashes of the prompt's beginnings that other calls share,
-// the longest first. The last part belongs to the call alone, unless it is the
-// only one.
+// prefixes returns the hashes of the prompt prefixes that other calls share, longest first. The
+// last part is specific to the call and left out, unless it is the only one.
 func (x *exchange) prefixes() []selector.Prefix {
 	p := x.call.Prompt.Parts
 
@@ -106,11 +107,11 @@
 	return o
 }
 
-// splitKey is the same for the calls that share a prompt's beginning; the others
-// are split by their IDs.
+// splitKey returns the key by which calls are split between groups. Calls that share a prompt
+// prefix have the same key; other calls use their ID.
 func (x *exchange) splitKey() uint64 {
-	if len(x.shared) > 0 {
-		return x.shared[0].Key
+	if len(x.sharedPrefixes) > 0 {
+		return x.sharedPrefixes[0].Key
 	}
 
 	return hasher.Key(x.call.ID)
@@ -118,8 +119,8 @@
 
 func (x *exchange) query(s Settings) selector.Query {
 	q := selector.Query{
-		Prefixes: x.shared, DataCentre: s.DataCentre, Excluded: x.tried, Draw: hasher.Key(x.call.ID),
-		Customer: hasher.Key(x.customer), Centres: x.centres(s.Regions),
+		Prefixes: x.sharedPrefixes, DataCentre: s.DataCentre, Excluded: x.tried, Draw: hasher.Key(x.call.ID),
+		Customer: hasher.Key(x.customer), Centres: x.allowedCentres(s.Regions),
 	}
 
 	if g, ok := x.catalog.Group(x.group); ok {
@@ -129,9 +130,9 @@
 	return q
 }
 
-// centres returns the data centres whose targets may run the call, and nil when all may. The rule
-// and the customer bind both; a data centre whose region is not known is in none.
-func (x *exchange) centres(regions map[string]string) map[string]bool {
+// allowedCentres returns the data centres whose targets may run the call, or nil if all may. The
+// rule's and the customer's regions both apply; a data centre whose region is unknown is excluded.
+func (x *exchange) allowedCentres(regions map[string]string) map[string]bool {
 	if len(x.rule.Regions)+len(x.regions) == 0 {
 		return nil
 	}
@@ -148,8 +149,8 @@
 	return o
 }
 
-// kind names the call's kind for counts.
-func (x *exchange) kind() string {
+// kindLabel returns the call's kind for use in metrics.
+func (x *exchange) kindLabel() string {
 	if x.rule == nil {
 		return "none"
 	}
@@ -157,8 +158,8 @@
 	return x.rule.Kind.String()
 }
 
-// fields are those that each line of log about the call has.
-func (x *exchange) fields() logrus.Fields {
+// logFields returns the fields common to all log lines about the call.
+func (x *exchange) logFields() logrus.Fields {
 	l := logrus.Fields{"id": x.call.ID, "took": time.Since(x.start).Round(time.Microsecond)}
 
 	if x.catalog != nil {
@@ -178,16 +179,16 @@
 		l["digest"] = x.digest
 	}
 
-	if x.confined {
+	if x.sharded {
 		l["confined"] = true
 	}
 
-	if x.cold > 0 {
-		l["cold"] = x.cold
+	if x.coldTargets > 0 {
+		l["cold"] = x.coldTargets
 	}
 
-	if x.resting > 0 {
-		l["resting"] = x.resting
+	if x.backingOff > 0 {
+		l["resting"] = x.backingOff
 	}
 
 	if x.choice.Target != nil {
@@ -195,21 +196,21 @@
 		l["bound"] = int(x.choice.Bound)
 		l["usable"] = x.choice.Usable
 		l["held"] = x.choice.Cached
-		l["room"] = x.room.verdict.Outcome
-		l["counted"] = x.room.verdict.Calls
+		l["room"] = x.reservation.verdict.Outcome
+		l["counted"] = x.reservation.verdict.Calls
 	}
 
 	if x.reply.Leaving {
 		l["saysLeaving"] = true
 	}
 
-	if x.reply.Rest > 0 {
-		l["asksRest"] = x.reply.Rest
+	if x.reply.Backoff > 0 {
+		l["asksRest"] = x.reply.Backoff
 	}
 
-	if !x.passed.IsZero() {
-		l["first"] = x.first.Round(time.Microsecond)
-		l["longestPause"] = x.longest.Round(time.Microsecond)
+	if !x.lastRelay.IsZero() {
+		l["first"] = x.firstPart.Round(time.Microsecond)
+		l["longestPause"] = x.longestGap.Round(time.Microsecond)
 	}
 
 	if x.choice.Source != nil {
--- a/internal/forwarder/fake_test.go
+++ b/internal/forwarder/fake_test.go
@@ -27,15 +27,15 @@
 	"github.com/auburntray/auburntray/internal/selector"
 )
 
-// dialect is a way of speaking for the tests.
+// dialect is a simple forwarder.Dialect for the tests.
 type dialect struct{}
 
-func (dialect) Read(h http.Header) (forwarder.Call, error) {
+func (dialect) ReadCall(h http.Header) (forwarder.Call, error) {
 	n, _ := strconv.Atoi(h.Get("Patience-Ms"))
 
 	c := forwarder.Call{
 		ID: h.Get("Id"), Key: h.Get("Key"), LastEvent: h.Get("Last"),
-		Patience: time.Duration(n) * time.Millisecond,
+		Timeout: time.Duration(n) * time.Millisecond,
 	}
 
 	if p := h.Get("Prompt"); p != "" {
@@ -45,11 +45,11 @@
 	return c, nil
 }
 
-func (dialect) Write(h http.Header, o forwarder.Orders) {
+func (dialect) WriteAttempt(h http.Header, o forwarder.AttemptInfo) {
 	h.Del("Key")
 	h.Set("Incarnation", o.Incarnation)
 	h.Set("Customer", o.Customer)
-	h.Set("Left-Ms", strconv.FormatInt(o.Left.Milliseconds(), 10))
+	h.Set("Left-Ms", strconv.FormatInt(o.Remaining.Milliseconds(), 10))
 
 	h.Set("Late", strconv.FormatBool(o.Late))
 
@@ -58,14 +58,14 @@
 	}
 }
 
-func (dialect) Answer(h http.Header, status int) forwarder.Reply {
+func (dialect) ReadReply(h http.Header, status int) forwarder.Reply {
 	o := forwarder.Reply{
 		ID: h.Get("Id"), NotRun: h.Get("Not-Run") != "", Sealed: h.Get("Seal") != "",
 		Misdirected: status == http.StatusMisdirectedRequest, Leaving: h.Get("Leaving") != "",
 	}
 
 	if n, err := strconv.Atoi(h.Get("Rest-Ms")); err == nil {
-		o.Rest = time.Duration(n) * time.Millisecond
+		o.Backoff = time.Duration(n) * time.Millisecond
 	}
 
 	if n, err := strconv.Atoi(h.Get("Running")); err == nil {
@@ -75,31 +75,32 @@
 	return o
 }
 
-// seen is a call as it reached a target.
-type seen struct {
+// received is a call as it reached a target. Closed is closed when the gateway closes the
+// connection.
+type received struct {
 	target string
 	path   string
 	header http.Header
 	body   string
-	gone   chan struct{}
+	closed chan struct{}
 }
 
-// target answers each call that reaches it with bytes of its own making.
+// target is a fake target that answers each call with raw bytes.
 type target struct {
 	id     string
-	answer func(n net.Conn, s seen)
+	answer func(n net.Conn, s received)
 
 	listener net.Listener
 
 	mu    sync.Mutex
-	calls []seen
+	calls []received
 }
 
-// end makes the target's address refuse connections, as when its process is gone.
-func (x *target) end() { _ = x.listener.Close() }
+// refuseConnections closes the target's listener, as when its process has crashed.
+func (x *target) refuseConnections() { _ = x.listener.Close() }
 
-// serve takes connections until the test ends.
-func (x *target) serve(t testing.TB) netip.AddrPort { //nolint:thelper // One letter, as in all code here.
+// listen accepts connections until the test ends and returns the address.
+func (x *target) listen(t testing.TB) netip.AddrPort { //nolint:thelper // One letter, as in all code here.
 	t.Helper()
 
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -141,7 +142,7 @@
 			return
 		}
 
-		s := seen{target: x.id, path: q.RequestURI, header: q.Header, body: string(b), gone: make(chan struct{})}
+		s := received{target: x.id, path: q.RequestURI, header: q.Header, body: string(b), closed: make(chan struct{})}
 
 		x.mu.Lock()
 		x.calls = append(x.calls, s)
@@ -152,9 +153,10 @@
 		go func() {
 			defer close(done)
 
-			// Whoever waits for the answer sends nothing; the read ends when it left.
+			// The gateway sends nothing while it waits for the answer, so the read ends when it
+			// closes the connection.
 			if _, err := r.Peek(1); err != nil {
-				close(s.gone)
+				close(s.closed)
 			}
 		}()
 
@@ -170,23 +172,23 @@
 	return len(x.calls)
 }
 
-// ok is an answer with a proof and a whole body.
-func ok(n net.Conn, s seen) {
+// answerOK answers in full, with a seal.
+func answerOK(n net.Conn, s received) {
 	reply(n, s, "200 OK", "from "+s.target, "Seal: "+s.target)
 }
 
-func reply(n net.Conn, s seen, status, body string, headers ...string) {
+func reply(n net.Conn, s received, status, body string, headers ...string) {
 	h := append([]string{"Id: " + s.header.Get("Id"), "Content-Length: " + strconv.Itoa(len(body))}, headers...)
 	_, _ = fmt.Fprintf(n, "HTTP/1.1 %s\r\n%s\r\n\r\n%s", status, strings.Join(h, "\r\n"), body)
 }
 
-// event is the text of an event of a stream.
+// event returns the text of a stream event.
 func event(id int) string {
 	return fmt.Sprintf("id: %d\ndata: e%d\n\n", id, id)
 }
 
-// begin sends the headers of a stream in chunks.
-func begin(n net.Conn, s seen) {
+// beginStream sends the headers of a chunked stream.
+func beginStream(n net.Conn, s received) {
 	_, _ = fmt.Fprintf(n, "HTTP/1.1 200 OK\r\nId: %s\r\nSeal: %s\r\nTransfer-Encoding: chunked\r\n\r\n", s.header.Get("Id"), s.target)
 }
 
@@ -194,70 +196,70 @@
 	_, _ = fmt.Fprintf(n, "%x\r\n%s\r\n", len(v), v)
 }
 
-func finish(n net.Conn) {
+func finishStream(n net.Conn) {
 	_, _ = io.WriteString(n, "0\r\n\r\n")
 }
 
-// reset ends a connection without its usual end.
+// reset closes a connection with a TCP reset.
 func reset(n net.Conn) {
 	_ = n.(*net.TCPConn).SetLinger(0)
 	_ = n.Close()
 }
 
-// facts are what the forwarder knows.
-type facts struct {
+// clusterState is a forwarder.Facts set by the tests.
+type clusterState struct {
 	catalog *cataloger.Catalog
-	// known is what Known returns where learn was called.
-	known   chan struct{}
-	mu      sync.Mutex
-	roster  *enroller.Roster
-	stale   bool
-	stalled bool
-	// leave is called with processes that said that they leave.
-	leave func(p enroller.Process) bool
-	// others is how many instances there are besides.
+	// synced is what Known returns once setCatalog has been called.
+	synced   chan struct{}
+	mu       sync.Mutex
+	registry *enroller.Roster
+	stale    bool
+	stalled  bool
+	// markLeaving is called with processes that announced their shutdown.
+	markLeaving func(p enroller.Process) bool
+	// others is how many other instances there are.
 	others int
 }
 
-func (f *facts) Catalog() *cataloger.Catalog {
+func (f *clusterState) Catalog() *cataloger.Catalog {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
 	return f.catalog
 }
 
-// learn sets the catalog; nil for none yet.
-func (f *facts) learn(c *cataloger.Catalog) {
+// setCatalog sets the catalog; nil means that none is known yet.
+func (f *clusterState) setCatalog(c *cataloger.Catalog) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
 	f.catalog = c
 
 	if c == nil {
-		f.known = make(chan struct{})
-	} else if f.known != nil {
-		close(f.known)
+		f.synced = make(chan struct{})
+	} else if f.synced != nil {
+		close(f.synced)
 	}
 }
 
-func (f *facts) Fresh() bool                   { return !f.stale }
-func (f *facts) Leave(p enroller.Process) bool { return f.leave(p) }
-func (f *facts) Instances() int                { return 1 + f.others }
-func (f *facts) Stalled(time.Time) bool        { return f.stalled }
+func (f *clusterState) Fresh() bool                         { return !f.stale }
+func (f *clusterState) MarkLeaving(p enroller.Process) bool { return f.markLeaving(p) }
+func (f *clusterState) Instances() int                      { return 1 + f.others }
+func (f *clusterState) Stalled(time.Time) bool              { return f.stalled }
 
-func (f *facts) Roster() *enroller.Roster {
+func (f *clusterState) Registry() *enroller.Roster {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
-	return f.roster
+	return f.registry
 }
 
-func (f *facts) Known() <-chan struct{} {
+func (f *clusterState) Synced() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
-	if f.known != nil {
-		return f.known
+	if f.synced != nil {
+		return f.synced
 	}
 
 	c := make(chan struct{})
@@ -268,15 +270,15 @@
 	return c
 }
 
-// rules are one of each kind.
+// rules returns a rule of each kind.
 func rules() []cataloger.Rule {
 	l := []cataloger.Rule{
 		{Name: "once", Prefix: "/once/", Kind: cataloger.Once, Attempts: 2},
-		{Name: "again", Prefix: "/again/", Kind: cataloger.Idempotent, Attempts: 2, Latency: 200 * time.Millisecond},
+		{Name: "idempotent", Prefix: "/idempotent/", Kind: cataloger.Idempotent, Attempts: 2, Latency: 200 * time.Millisecond},
 		{Name: "stream", Prefix: "/stream/", Kind: cataloger.Stream, Attempts: 2},
 		{Name: "resumable", Prefix: "/resumable/", Kind: cataloger.Stream, Resumable: true, Attempts: 3, Latency: 200 * time.Millisecond, Pause: 50 * time.Millisecond},
-		{Name: "lined", Prefix: "/lined/", Kind: cataloger.Stream, Attempts: 1, Latency: 50 * time.Millisecond},
-		{Name: "open", Prefix: "/open/", Kind: cataloger.Once, Public: true, Attempts: 1},
+		{Name: "queued", Prefix: "/queued/", Kind: cataloger.Stream, Attempts: 1, Latency: 50 * time.Millisecond},
+		{Name: "public", Prefix: "/public/", Kind: cataloger.Once, Public: true, Attempts: 1},
 	}
 	for i := range l {
 		l[i].Host = "app.example"
@@ -287,62 +289,62 @@
 	return l
 }
 
-// gateway is a forwarder before targets.
+// gateway is a forwarder in front of fake targets.
 type gateway struct {
 	*httptest.Server
 
-	facts     *facts
+	state     *clusterState
 	forwarder *forwarder.Forwarder
 	enroller  *enroller.Enroller
 }
 
-// list changes the list of targets.
-func (g *gateway) list(l ...enroller.Target) {
-	g.change(func(e *enroller.Enroller) {
+// setTargets adds or replaces targets in the list.
+func (g *gateway) setTargets(l ...enroller.Target) {
+	g.update(func(e *enroller.Enroller) {
 		for _, x := range l {
 			e.Set(x)
 		}
 	})
 }
 
-// leave notes that a process said that it leaves.
-func (g *gateway) leave(p enroller.Process) bool {
+// markLeaving records that a process announced its shutdown.
+func (g *gateway) markLeaving(p enroller.Process) bool {
 	var o bool
 
-	g.change(func(e *enroller.Enroller) { o = e.Leave(time.Now(), p) })
+	g.update(func(e *enroller.Enroller) { o = e.Leave(time.Now(), p) })
 
 	return o
 }
 
-// change changes what is known of the targets.
-func (g *gateway) change(u func(e *enroller.Enroller)) {
-	g.facts.mu.Lock()
+// update changes the registry and prunes the forwarder's state accordingly.
+func (g *gateway) update(u func(e *enroller.Enroller)) {
+	g.state.mu.Lock()
 	u(g.enroller)
 
 	r := g.enroller.Roster()
-	g.facts.roster = r
-	g.facts.mu.Unlock()
+	g.state.registry = r
+	g.state.mu.Unlock()
 
-	g.forwarder.Forget(r)
+	g.forwarder.Prune(r)
 }
 
-// restarted is a target's entry after it has started again.
+// restarted returns a target's entry after a restart of its process.
 func (g *gateway) restarted(id string) enroller.Target {
-	x := *g.facts.Roster().Known[id]
+	x := *g.state.Registry().Known[id]
 	x.Start = x.Start.Add(time.Second)
 
 	return x
 }
 
-// front starts a forwarder. Calls reach the first target first.
-func front(t testing.TB, l ...*target) *gateway { //nolint:thelper // As above.
+// newGateway starts a gateway. Calls go to the first target by preference.
+func newGateway(t testing.TB, l ...*target) *gateway { //nolint:thelper // As above.
 	t.Helper()
 
-	return frontBy(t, &net.Dialer{}, l...)
+	return newGatewayWithDialer(t, &net.Dialer{}, l...)
 }
 
-// frontBy is front with a way to make connections.
-func frontBy(t testing.TB, d forwarder.Dialer, l ...*target) *gateway { //nolint:thelper // As above.
+// newGatewayWithDialer is newGateway with a dialer for the connections to targets.
+func newGatewayWithDialer(t testing.TB, d forwarder.Dialer, l ...*target) *gateway { //nolint:thelper // As above.
 	t.Helper()
 	logrus.SetLevel(logrus.FatalLevel)
 
@@ -359,15 +361,15 @@
 
 	for i, x := range l {
 		x.id = "t" + strconv.Itoa(i)
-		// The nearer one has fewer slots, and is still chosen first.
+		// Only the first target is in the gateway's data centre, so it is selected first.
 		e.Set(enroller.Target{
-			ID: x.id, Group: "g", Address: x.serve(t), DataCentre: "dc" + strconv.Itoa(i), Slots: 8, Start: time.UnixMilli(1_700_000_000_000),
+			ID: x.id, Group: "g", Address: x.listen(t), DataCentre: "dc" + strconv.Itoa(i), Slots: 8, Start: time.UnixMilli(1_700_000_000_000),
 		})
 	}
 
-	f := &facts{catalog: c, roster: e.Roster()}
+	f := &clusterState{catalog: c, registry: e.Roster()}
 	x, stop := forwarder.New(forwarder.Settings{
-		DataCentre: "dc0", Patience: time.Second, MaxBody: 1000, Regions: map[string]string{"dc0": "r0", "dc1": "r1"},
+		DataCentre: "dc0", DefaultTimeout: time.Second, MaxBody: 1000, Regions: map[string]string{"dc0": "r0", "dc1": "r1"},
 	}, dialect{}, f,
 		noop.NewTracerProvider().Tracer(""), meter.New(), d, selector.New(selector.DefaultSettings()),
 		budgeter.New(budgeter.Settings{Ratio: 0.2, Window: 10 * time.Second, Slack: 100}, time.Now()))
@@ -378,22 +380,22 @@
 		stop()
 	})
 
-	g := &gateway{Server: s, facts: f, forwarder: x, enroller: e}
-	f.leave = g.leave
+	g := &gateway{Server: s, state: f, forwarder: x, enroller: e}
+	f.markLeaving = g.markLeaving
 
 	return g
 }
 
-// answer is what a caller got.
+// answer is what the caller received.
 type answer struct {
 	status int
 	header http.Header
 	body   string
-	// err is set when the answer did not come whole.
+	// err is set if the answer was incomplete.
 	err error
 }
 
-// call sends a call with a key.
+// call sends a call with a valid key.
 func (g *gateway) call(t testing.TB, method, path, body string, headers ...string) answer { //nolint:thelper // As above.
 	t.Helper()
 
--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -1,5 +1,4 @@
-// Package forwarder takes calls from callers, sends them to targets and brings
-// back their answers.
+// Package forwarder accepts calls from callers, forwards them to targets and relays the answers.
 package forwarder
 
 import (
@@ -26,35 +25,35 @@
 	"github.com/auburntray/auburntray/internal/throttler"
 )
 
-// Facts is what is known of the world when a call comes.
-type Facts interface {
-	// Catalog returns the catalog in force, nil while none is known.
+// ClusterState is the state of the cluster as this instance knows it. It must be safe for concurrent use.
+type ClusterState interface {
+	// Catalog returns the catalog in force, or nil if none is known yet.
 	Catalog() *cataloger.Catalog
-	// Known is closed when a catalog and the list of targets are known.
-	Known() <-chan struct{}
-	// Fresh says that the catalog was confirmed lately: what it does not hold is
-	// not there.
+	// Synced returns a channel that is closed once a catalog and the list of targets are known.
+	Synced() <-chan struct{}
+	// Fresh reports whether the catalog was recently confirmed, so that an entry it lacks does not
+	// exist.
 	Fresh() bool
-	// Roster returns the targets.
-	Roster() *enroller.Roster
-	// Leave notes that a process said that it leaves, so that the roster has no calls for it, and
-	// says whether that was news.
-	Leave(p enroller.Process) bool
-	// Stalled says that this process stood still at some time after since.
+	// Registry returns the known targets.
+	Registry() *enroller.Roster
+	// MarkLeaving records that a process announced its shutdown, so that no calls are sent to it, and
+	// reports whether this was new.
+	MarkLeaving(p enroller.Process) bool
+	// Stalled reports whether this process was stalled at some time after since.
 	Stalled(since time.Time) bool
 	// Instances returns how many instances share the retry budget.
 	Instances() int
 }
 
-// Settings bounds a Forwarder.
+// Settings configures a Forwarder.
 type Settings struct {
-	// DataCentre is where this instance is.
+	// DataCentre is the data centre of this instance.
 	DataCentre string
-	// Patience is how long callers wait that do not say.
-	Patience time.Duration
-	// MaxBody bounds a body where the catalog does not.
+	// DefaultTimeout is the time-out of calls whose callers state none.
+	DefaultTimeout time.Duration
+	// MaxBody bounds a request body, in bytes, where the catalog sets no limit.
 	MaxBody int64
-	// Regions are the regions of data centres, by name.
+	// Regions are the regions of the data centres, by data centre name.
 	Regions map[string]string
 }
 
@@ -62,78 +61,78 @@
 type Forwarder struct {
 	settings Settings
 	dialect  Dialect
-	facts    Facts
+	state    ClusterState
 	tracer   trace.Tracer
 	client   *client
 	meter    Meter
-	// ordinary bounds the lines about calls that went well.
-	ordinary *rate.Limiter
-	// turned bounds the lines about calls that were not taken.
-	turned *rate.Limiter
+	// servedLogs limits the rate of log lines about served calls.
+	servedLogs *rate.Limiter
+	// rejectedLogs limits the rate of log lines about calls rejected before they were processed.
+	rejectedLogs *rate.Limiter
 
 	mu       sync.Mutex
 	chooser  *selector.Selector
 	budgeter *budgeter.Budgeter
 	admitter *admitter.Admitter
-	// confiner says when customers keep to a part of the targets, and confined in which groups
-	// they do.
-	confiner *confiner.Confiner
-	confined map[string]bool
+	// sharder decides when the customers of a group are limited to their shards of its targets.
+	// Sharded holds the groups in which they currently are.
+	sharder *confiner.Confiner
+	sharded map[string]bool
 
-	// cutSince is when it was found that this instance is cut off; nil while it is not.
+	// cutSince is when this instance was found to be cut off; nil while it is not.
 	cutSince atomic.Pointer[time.Time]
 
-	// gone tells other instances of a process that is gone.
-	gone func(p enroller.Process)
-	// leaving tells other instances of a process that said that it leaves.
-	leaving func(p enroller.Process)
-	// homes count the calls of all instances; nil where there are none.
-	homes Homes
-	// quarantine remembers under which calls targets ended; nil remembers nothing.
+	// notifyGone notifies other instances that a process is gone.
+	notifyGone func(p enroller.Process)
+	// notifyLeaving notifies other instances that a process announced its shutdown.
+	notifyLeaving func(p enroller.Process)
+	// reserver reserves slots at the home nodes of targets; nil if slots are not reserved.
+	reserver SlotReserver
+	// quarantine records the calls that were running when targets crashed; nil disables it.
 	quarantine Quarantine
 
 	stopping chan struct{}
 	stopOnce sync.Once
 }
 
-// Meter counts what happens; a meter.Meter does.
+// Meter records metrics. It is implemented by meter.Meter.
 type Meter interface {
 	Call(kind string, o meter.Outcome, took time.Duration)
 	Began(kind string, took time.Duration)
 	Attempt(group, outcome string)
 	Refusal(reason string)
-	Left(cause string, out bool)
+	Left(cause string, excluded bool)
 	Reserved(group, outcome string)
 }
 
-// ordinaryLines is how many calls a second are logged that went well, four times
-// those of an instance at its usual load.
-const ordinaryLines = 150
+// servedLogsPerSecond bounds the log lines about served calls. It is four times the usual load of
+// an instance.
+const servedLogsPerSecond = 150
 
-// turnedLines is how many calls a second are logged that were not taken: as many as come to an
-// instance at its usual load.
-const turnedLines = 40
+// rejectedLogsPerSecond bounds the log lines about rejected calls. It is the usual load of an
+// instance.
+const rejectedLogsPerSecond = 40
 
-// Dialer makes connections; a net.Dialer does.
+// Dialer makes connections. It is implemented by net.Dialer.
 type Dialer interface {
 	DialContext(c context.Context, network, address string) (net.Conn, error)
 }
 
-// New returns a Forwarder and its clean-up function, which closes the kept
-// connections to targets.
-func New(s Settings, d Dialect, f Facts, t trace.Tracer, m Meter, x Dialer, c *selector.Selector, b *budgeter.Budgeter) (*Forwarder, func()) {
+// New returns a Forwarder and its clean-up function, which closes the pooled connections to
+// targets.
+func New(s Settings, d Dialect, f ClusterState, t trace.Tracer, m Meter, x Dialer, c *selector.Selector, b *budgeter.Budgeter) (*Forwarder, func()) {
 	k := newClient(x)
 
 	return &Forwarder{
-		settings: s, dialect: d, facts: f, tracer: t, client: k, chooser: c, budgeter: b, admitter: admitter.New(), gone: func(enroller.Process) {}, leaving: func(enroller.Process) {},
-		confiner: confiner.New(), confined: make(map[string]bool),
-		meter: m, ordinary: rate.NewLimiter(ordinaryLines, ordinaryLines),
-		turned: rate.NewLimiter(turnedLines, turnedLines), stopping: make(chan struct{}),
-	}, func() { k.kept.forget(&enroller.Roster{}) }
+		settings: s, dialect: d, state: f, tracer: t, client: k, chooser: c, budgeter: b, admitter: admitter.New(), notifyGone: func(enroller.Process) {}, notifyLeaving: func(enroller.Process) {},
+		sharder: confiner.New(), sharded: make(map[string]bool),
+		meter: m, servedLogs: rate.NewLimiter(servedLogsPerSecond, servedLogsPerSecond),
+		rejectedLogs: rate.NewLimiter(rejectedLogsPerSecond, rejectedLogsPerSecond), stopping: make(chan struct{}),
+	}, func() { k.pool.prune(&enroller.Roster{}) }
 }
 
-// Stop makes each answer from now on end its connection, so that callers go on
-// at other instances.
+// Stop makes each answer from now on close its connection, so that callers continue at other
+// instances. It may be called more than once.
 func (f *Forwarder) Stop() {
 	f.stopOnce.Do(func() { close(f.stopping) })
 }
@@ -156,14 +155,14 @@
 
 	err := f.serve(c, x)
 	s.SetAttributes(attribute.String("id", x.call.ID), attribute.Int("attempts", x.sent))
-	f.end(x, err)
+	f.complete(x, err)
 }
 
-// serve takes the steps of a call. Each may end it with a refusal.
+// serve processes a call step by step. Each step may end the call with a refusal.
 func (f *Forwarder) serve(c context.Context, x *exchange) error {
-	defer x.endTrial()
+	defer x.finishProbe()
 
-	for _, s := range []func(*exchange) error{f.identify, f.match, f.authorize, f.accept, f.isolate} {
+	for _, s := range []func(*exchange) error{f.readCall, f.matchRule, f.authorize, f.readBody, f.checkQuarantine} {
 		if err := s(x); err != nil {
 			return err
 		}
@@ -172,20 +171,21 @@
 	d, stop := context.WithDeadline(c, x.deadline)
 	defer stop()
 
-	return f.attempts(d, x)
+	return f.runAttempts(d, x)
 }
 
-// end answers a call that was given up on, and logs how it ended.
-func (f *Forwarder) end(x *exchange, err error) {
+// complete writes the refusal of a call that was not answered, and logs and counts how the call
+// ended.
+func (f *Forwarder) complete(x *exchange, err error) {
 	var r *Refusal
 
 	o := meter.Served
-	l := logrus.WithFields(x.fields())
+	l := logrus.WithFields(x.logFields())
 
 	switch {
 	case err == nil:
-		// In a flood the lines of calls that went well go first.
-		if f.ordinary.Allow() {
+		// Under high load the lines about served calls are dropped first.
+		if f.servedLogs.Allow() {
 			l.WithField("event", "callServed").Info()
 		}
 	case errors.Is(err, errCallerLeft):
@@ -206,42 +206,41 @@
 		l.WithFields(logrus.Fields{"event": "callBroken", "error": err}).Warn()
 	}
 
-	f.meter.Call(x.kind(), o, time.Since(x.start))
+	f.meter.Call(x.kindLabel(), o, time.Since(x.start))
 
 	if o == meter.Broken {
-		// The connection ends without the end of the answer: what the caller got
-		// so far must not look whole. Events that came together with the break are
-		// still held back for the next one; a caller that goes on with the stream
-		// needs them, so they go out first.
+		// Abort the connection without ending the answer: an incomplete answer must not appear
+		// complete. Events received together with the failure are still buffered. They are flushed
+		// first, because a caller that resumes the stream needs them.
 		_ = http.NewResponseController(x.writer).Flush() // The caller may have left.
 
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// Turn answers a call that is not taken, since the instance is stopping or has
-// too many.
-func (f *Forwarder) Turn(w http.ResponseWriter, r *http.Request, stopping bool) {
-	x := refuse(http.StatusServiceUnavailable, Busy, turnWait, "this instance has too many calls")
+// Reject rejects a call that is not processed because the instance is stopping or has too many calls.
+func (f *Forwarder) Reject(w http.ResponseWriter, r *http.Request, stopping bool) {
+	x := refuse(http.StatusServiceUnavailable, Busy, rejectWait, "this instance has too many calls")
 	if stopping {
-		x = refuse(http.StatusServiceUnavailable, Stopping, turnWait, "this instance is stopping")
+		x = refuse(http.StatusServiceUnavailable, Stopping, rejectWait, "this instance is stopping")
 	}
 
 	f.meter.Refusal(string(x.Reason))
 
-	// Who asks what became of a call finds it by its ID. In a flood the count is all there is.
-	if f.turned.Allow() {
-		f.logTurned(r, x)
+	// The line allows operators to find the call by its ID. Under high load only the metric
+	// remains.
+	if f.rejectedLogs.Allow() {
+		f.logRejected(r, x)
 	}
 
 	x.write(w)
 }
 
-func (f *Forwarder) logTurned(r *http.Request, x *Refusal) {
+func (f *Forwarder) logRejected(r *http.Request, x *Refusal) {
 	l := logrus.Fields{"event": "callRefused", "status": x.Status, "wait": x.Wait, "reason": x.Reason, "detail": x.Message}
 
-	// Headers that can't be read are no reason to say less.
-	if c, err := f.dialect.Read(r.Header); err == nil {
+	// The line is written even if the headers are invalid.
+	if c, err := f.dialect.ReadCall(r.Header); err == nil {
 		l["id"] = c.ID
 	} else {
 		l["error"] = err
@@ -250,15 +249,15 @@
 	logrus.WithFields(l).Info()
 }
 
-// SetRetries replaces the bounds of the retry budget.
-func (f *Forwarder) SetRetries(s budgeter.Settings) {
+// SetRetryBudget replaces the bounds of the retry budget.
+func (f *Forwarder) SetRetryBudget(s budgeter.Settings) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
 	f.budgeter.Set(s)
 }
 
-// SetThrottle replaces the bound on the calls at cold targets.
+// SetThrottle replaces the bounds on calls to cold targets.
 func (f *Forwarder) SetThrottle(s throttler.Settings) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -266,7 +265,7 @@
 	f.chooser.SetThrottle(s)
 }
 
-// Running returns how many calls this instance has at the targets of a data centre.
+// Running returns how many calls this instance has in flight at the targets of a data centre.
 func (f *Forwarder) Running(centre string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -274,22 +273,22 @@
 	return f.chooser.Running(centre)
 }
 
-// Forget takes a list of targets that has changed, and drops what is known of processes that
-// are not on it, and the connections that are kept to them.
-func (f *Forwarder) Forget(r *enroller.Roster) {
+// Prune discards the state of processes that a changed registry no longer lists, and closes the
+// idle connections to them.
+func (f *Forwarder) Prune(r *enroller.Roster) {
 	f.mu.Lock()
 	f.chooser.ApplyRegistry(time.Now(), r)
 	f.mu.Unlock()
 
-	f.client.kept.forget(r)
+	f.client.pool.prune(r)
 }
 
-// Learn takes what another instance told.
-func (f *Forwarder) Learn(n selector.Update) {
+// ApplyUpdate applies an update from another instance.
+func (f *Forwarder) ApplyUpdate(n selector.Update) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
-	f.chooser.ApplyUpdate(time.Now(), f.facts.Roster(), n)
+	f.chooser.ApplyUpdate(time.Now(), f.state.Registry(), n)
 }
 
 // Views returns the targets as this instance sees them.
@@ -297,46 +296,47 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
-	return f.chooser.Views(time.Now(), f.facts.Roster())
+	return f.chooser.Views(time.Now(), f.state.Registry())
 }
 
-// ReportGone takes another instance's word that processes of targets are gone.
-func (f *Forwarder) LearnGone(l []enroller.Process) {
+// ReportGone applies a notification from another instance that processes of targets are gone.
+func (f *Forwarder) MarkGone(l []enroller.Process) {
 	f.mu.Lock()
 
 	for _, p := range l {
-		f.chooser.ReportGone(time.Now(), f.facts.Roster(), p)
+		f.chooser.ReportGone(time.Now(), f.state.Registry(), p)
 	}
 
 	b := f.chooser.HealthChanges()
 	f.mu.Unlock()
 
-	f.tellBeliefs(b, nil)
+	f.reportHealth(b, nil)
 }
 
-// OnGone sets what is called with a process of a target that this instance finds gone. It
-// is set before the first call comes.
+// OnGone sets the function that is called with a target's process that this instance finds gone. It
+// must be called before the first call is served.
 func (f *Forwarder) OnGone(g func(p enroller.Process)) {
-	f.gone = g
+	f.notifyGone = g
 }
 
-// LearnLeaving takes another instance's word that processes of targets said that they leave.
-func (f *Forwarder) LearnLeaving(l []enroller.Process) {
+// MarkLeaving applies a notification from another instance that processes of targets announced
+// their shutdown.
+func (f *Forwarder) MarkLeaving(l []enroller.Process) {
 	for _, p := range l {
-		if f.facts.Leave(p) {
+		if f.state.MarkLeaving(p) {
 			f.logLeaving(p, selector.Peer)
 		}
 	}
 }
 
-// OnLeaving sets what is called with a process of a target that said to this instance that it leaves.
-// It is set before the first call comes.
+// OnLeaving sets the function that is called with a target's process that announced its shutdown to
+// this instance. It must be called before the first call is served.
 func (f *Forwarder) OnLeaving(g func(p enroller.Process)) {
-	f.leaving = g
+	f.notifyLeaving = g
 }
 
-// News returns what other instances should be told.
-func (f *Forwarder) News() selector.Update {
+// Update returns the update to send to other instances.
+func (f *Forwarder) Update() selector.Update {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
--- a/internal/forwarder/forwarder_test.go
+++ b/internal/forwarder/forwarder_test.go
@@ -16,10 +16,10 @@
 	"github.com/auburntray/auburntray/internal/standin/porter"
 )
 
-func TestWhatATargetSees(t *testing.T) {
+func TestForwardedRequest(t *testing.T) {
 	is := is.New(t)
-	x := &target{answer: ok}
-	g := front(t, x)
+	x := &target{answer: answerOK}
+	g := newGateway(t, x)
 
 	a := g.call(t, http.MethodPost, "/once/a%2Fb/?q=1&r=%20", "the body",
 		"Incarnation", "forged", "Customer", "forged", "Own", "kept", "Connection", "Gone", "Gone", "1")
@@ -41,40 +41,40 @@
 	is.True(n > 0 && n <= 1000)
 }
 
-func TestAnswersOfItsOwn(t *testing.T) {
+func TestRefusals(t *testing.T) {
 	for name, x := range map[string]struct {
 		path, body string
 		headers    []string
-		change     func(f *facts)
+		change     func(f *clusterState)
 		status     int
-		wait       bool
+		retryAfter bool
 	}{
-		"no rule":             {path: "/none/", status: http.StatusNotFound},
-		"no key":              {path: "/once/", headers: []string{"Key", ""}, status: http.StatusUnauthorized},
-		"unknown key":         {path: "/once/", headers: []string{"Key", "other"}, status: http.StatusUnauthorized},
-		"public without key":  {path: "/open/", headers: []string{"Key", ""}, status: http.StatusOK},
-		"body too long":       {path: "/once/", body: strings.Repeat("x", 1001), status: http.StatusRequestEntityTooLarge},
-		"headers too long":    {path: "/once/", headers: []string{"More", strings.Repeat("x", 900)}, status: http.StatusRequestHeaderFieldsTooLarge},
-		"long headers":        {path: "/once/", headers: []string{"More", strings.Repeat("x", 700)}, status: http.StatusOK},
-		"no catalog":          {path: "/once/", change: func(f *facts) { f.catalog = nil }, status: http.StatusServiceUnavailable, wait: true},
-		"no target":           {path: "/once/", change: func(f *facts) { f.roster.Groups = nil }, status: http.StatusServiceUnavailable, wait: true},
-		"old catalog no rule": {path: "/none/", change: func(f *facts) { f.stale = true }, status: http.StatusServiceUnavailable, wait: true},
-		"old catalog no key":  {path: "/once/", headers: []string{"Key", "new"}, change: func(f *facts) { f.stale = true }, status: http.StatusServiceUnavailable, wait: true},
+		"no rule":                    {path: "/none/", status: http.StatusNotFound},
+		"no key":                     {path: "/once/", headers: []string{"Key", ""}, status: http.StatusUnauthorized},
+		"unknown key":                {path: "/once/", headers: []string{"Key", "other"}, status: http.StatusUnauthorized},
+		"public rule without key":    {path: "/public/", headers: []string{"Key", ""}, status: http.StatusOK},
+		"body above the limit":       {path: "/once/", body: strings.Repeat("x", 1001), status: http.StatusRequestEntityTooLarge},
+		"headers above the limit":    {path: "/once/", headers: []string{"More", strings.Repeat("x", 900)}, status: http.StatusRequestHeaderFieldsTooLarge},
+		"headers below the limit":    {path: "/once/", headers: []string{"More", strings.Repeat("x", 700)}, status: http.StatusOK},
+		"no catalog":                 {path: "/once/", change: func(f *clusterState) { f.catalog = nil }, status: http.StatusServiceUnavailable, retryAfter: true},
+		"no target":                  {path: "/once/", change: func(f *clusterState) { f.registry.Groups = nil }, status: http.StatusServiceUnavailable, retryAfter: true},
+		"stale catalog, no rule":     {path: "/none/", change: func(f *clusterState) { f.stale = true }, status: http.StatusServiceUnavailable, retryAfter: true},
+		"stale catalog, unknown key": {path: "/once/", headers: []string{"Key", "new"}, change: func(f *clusterState) { f.stale = true }, status: http.StatusServiceUnavailable, retryAfter: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			o := &target{answer: ok}
-			g := front(t, o)
+			o := &target{answer: answerOK}
+			g := newGateway(t, o)
 
 			if x.change != nil {
-				x.change(g.facts)
+				x.change(g.state)
 			}
 
 			b := time.Now()
 			a := g.call(t, http.MethodPost, x.path, x.body, x.headers...)
 			is.Equal(a.status, x.status)
-			is.Equal(a.header.Get("Retry-After") != "", x.wait)
-			is.True(time.Since(b) < 500*time.Millisecond) // At once, not near the deadline.
+			is.Equal(a.header.Get("Retry-After") != "", x.retryAfter)
+			is.True(time.Since(b) < 500*time.Millisecond) // Immediately, not near the deadline.
 
 			if x.status != http.StatusOK {
 				is.Equal(o.count(), 0)
@@ -84,11 +84,11 @@
 	}
 }
 
-// Callers that are refused at the same moment must not come back at the same moment.
-func TestReturnsAreSpread(t *testing.T) {
+// Guards against callers that are refused together and all retry at the same moment.
+func TestRetryAfterIsSpread(t *testing.T) {
 	is := is.New(t)
-	g := front(t, &target{answer: ok})
-	g.facts.roster.Groups = nil
+	g := newGateway(t, &target{answer: answerOK})
+	g.state.registry.Groups = nil
 
 	waits := map[string]bool{}
 
@@ -104,30 +104,30 @@
 	is.True(len(waits) > 5)
 }
 
-// faults are what a target may do to a call.
-func faults() map[string]func(n net.Conn, s seen) {
-	return map[string]func(n net.Conn, s seen){
-		"ok":      ok,
-		"notRun":  func(n net.Conn, s seen) { reply(n, s, "503 Full", "", "Not-Run: 1") },
-		"moved":   func(n net.Conn, s seen) { reply(n, s, "421 Other", "", "Not-Run: 1") },
-		"error":   func(n net.Conn, s seen) { reply(n, s, "500 Failed", "own error", "Seal: "+s.target) },
-		"promise": func(n net.Conn, s seen) { reply(n, s, "503 Failed", "ran", "Seal: "+s.target) },
-		"noProof": func(n net.Conn, s seen) { reply(n, s, "200 OK", "forged") },
-		"reset":   func(n net.Conn, _ seen) { reset(n) },
-		"closed":  func(n net.Conn, _ seen) { _ = n.Close() },
-		"short": func(n net.Conn, _ seen) {
+// faults returns what a target may do to a call.
+func faults() map[string]func(n net.Conn, s received) {
+	return map[string]func(n net.Conn, s received){
+		"ok":            answerOK,
+		"notRun":        func(n net.Conn, s received) { reply(n, s, "503 Full", "", "Not-Run: 1") },
+		"misdirected":   func(n net.Conn, s received) { reply(n, s, "421 Other", "", "Not-Run: 1") },
+		"error":         func(n net.Conn, s received) { reply(n, s, "500 Failed", "own error", "Seal: "+s.target) },
+		"impliesNotRun": func(n net.Conn, s received) { reply(n, s, "503 Failed", "ran", "Seal: "+s.target) },
+		"noProof":       func(n net.Conn, s received) { reply(n, s, "200 OK", "forged") },
+		"reset":         func(n net.Conn, _ received) { reset(n) },
+		"closed":        func(n net.Conn, _ received) { _ = n.Close() },
+		"short": func(n net.Conn, _ received) {
 			_, _ = io.WriteString(n, "HTTP/1.1 200 OK\r\nId: call-1\r\nSeal: x\r\nContent-Length: 100\r\n\r\nshort")
 			reset(n)
 		},
-		"garbage": func(n net.Conn, _ seen) { _, _ = io.WriteString(n, "what is this\r\n\r\n"); _ = n.Close() },
-		"another": func(n net.Conn, _ seen) {
+		"garbage": func(n net.Conn, _ received) { _, _ = io.WriteString(n, "not HTTP\r\n\r\n"); _ = n.Close() },
+		"otherCall": func(n net.Conn, _ received) {
 			_, _ = io.WriteString(n, "HTTP/1.1 200 OK\r\nId: call-0\r\nSeal: x\r\nContent-Length: 6\r\n\r\nothers")
 		},
-		"unframed": func(n net.Conn, s seen) {
+		"unframed": func(n net.Conn, s received) {
 			_, _ = io.WriteString(n, "HTTP/1.1 200 OK\r\nId: call-1\r\nSeal: "+s.target+"\r\n\r\nfrom "+s.target)
 			_ = n.Close()
 		},
-		"cutBare": func(n net.Conn, _ seen) {
+		"unframedReset": func(n net.Conn, _ received) {
 			_, _ = io.WriteString(n, "HTTP/1.1 200 OK\r\nId: call-1\r\nSeal: x\r\n\r\nfro")
 			time.Sleep(20 * time.Millisecond)
 			reset(n)
@@ -135,38 +135,38 @@
 	}
 }
 
-// Whatever a target does, the caller gets a whole answer that is its own, or none
-// that looks like one; a call that may run once reaches a second target only after
-// the first one's word; and only a call that did not run is refused as such.
-func TestFaultsOfTargets(t *testing.T) {
+// Guards against answers that are incomplete or belong to another caller but appear valid, against
+// a call that must run once reaching a second target before the first one stated that it did not
+// run it, and against a call that may have run being refused as not run.
+func TestTargetFaults(t *testing.T) {
 	type want struct {
 		status int
 		body   string
 		calls  int
 	}
 
-	for name, x := range map[string]struct{ once, again want }{
-		"ok":       {want{200, "from t0", 1}, want{200, "from t0", 1}},
-		"notRun":   {want{200, "from t1", 2}, want{200, "from t1", 2}},
-		"moved":    {want{200, "from t1", 2}, want{200, "from t1", 2}},
-		"error":    {want{500, "own error", 1}, want{200, "from t1", 2}},
-		"promise":  {want{502, "", 1}, want{200, "from t1", 2}},
-		"noProof":  {want{502, "", 1}, want{200, "from t1", 2}},
-		"reset":    {want{502, "", 1}, want{200, "from t1", 2}},
-		"closed":   {want{502, "", 1}, want{200, "from t1", 2}},
-		"short":    {want{502, "", 1}, want{200, "from t1", 2}},
-		"garbage":  {want{502, "", 1}, want{200, "from t1", 2}},
-		"another":  {want{502, "", 1}, want{200, "from t1", 2}},
-		"unframed": {want{200, "from t0", 1}, want{200, "from t0", 1}},
-		"cutBare":  {want{502, "", 1}, want{200, "from t1", 2}},
+	for name, x := range map[string]struct{ once, idempotent want }{
+		"ok":            {want{200, "from t0", 1}, want{200, "from t0", 1}},
+		"notRun":        {want{200, "from t1", 2}, want{200, "from t1", 2}},
+		"misdirected":   {want{200, "from t1", 2}, want{200, "from t1", 2}},
+		"error":         {want{500, "own error", 1}, want{200, "from t1", 2}},
+		"impliesNotRun": {want{502, "", 1}, want{200, "from t1", 2}},
+		"noProof":       {want{502, "", 1}, want{200, "from t1", 2}},
+		"reset":         {want{502, "", 1}, want{200, "from t1", 2}},
+		"closed":        {want{502, "", 1}, want{200, "from t1", 2}},
+		"short":         {want{502, "", 1}, want{200, "from t1", 2}},
+		"garbage":       {want{502, "", 1}, want{200, "from t1", 2}},
+		"otherCall":     {want{502, "", 1}, want{200, "from t1", 2}},
+		"unframed":      {want{200, "from t0", 1}, want{200, "from t0", 1}},
+		"unframedReset": {want{502, "", 1}, want{200, "from t1", 2}},
 	} {
-		for path, w := range map[string]want{"/once/": x.once, "/again/": x.again} {
+		for path, w := range map[string]want{"/once/": x.once, "/idempotent/": x.idempotent} {
 			t.Run(name+path, func(t *testing.T) {
 				is := is.New(t)
-				a, b := &target{answer: faults()[name]}, &target{answer: ok}
-				g := front(t, a, b)
+				a, b := &target{answer: faults()[name]}, &target{answer: answerOK}
+				g := newGateway(t, a, b)
 
-				// A body-less method is one that libraries send again by themselves.
+				// A method without a body, which HTTP libraries resend by themselves.
 				o := g.call(t, http.MethodGet, path, "")
 				is.NoErr(o.err)
 				is.Equal(o.status, w.status)
@@ -182,66 +182,65 @@
 	}
 }
 
-// A user would find a booking made twice: the target closes a kept connection just
-// as the next call goes out on it, and the library sends the call once more.
-func TestKeptConnectionNeverRepeatsACall(t *testing.T) {
+// Guards against a call that runs twice: the target closes a pooled connection just as the next
+// call is sent on it, and the HTTP library resends the call.
+func TestPooledConnectionNeverRepeatsCall(t *testing.T) {
 	for name, x := range map[string]struct {
 		path  string
 		calls int
 	}{
-		"once":   {"/once/", 1},
-		"stream": {"/stream/", 1},
-		"again":  {"/again/", 2}, // To two targets, as the rule allows, and no more.
+		"once":       {"/once/", 1},
+		"stream":     {"/stream/", 1},
+		"idempotent": {"/idempotent/", 2}, // The rule allows two attempts.
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			n := 0
 			a := &target{}
-			a.answer = func(c net.Conn, s seen) {
+			a.answer = func(c net.Conn, s received) {
 				if n++; n == 1 {
-					ok(c, s)
+					answerOK(c, s)
 
 					return
 				}
 
 				reset(c)
 			}
-			g := front(t, a)
+			g := newGateway(t, a)
 
-			is.Equal(g.call(t, http.MethodGet, "/again/", "").status, http.StatusOK)
+			is.Equal(g.call(t, http.MethodGet, "/idempotent/", "").status, http.StatusOK)
 			is.Equal(g.call(t, http.MethodGet, x.path, "").status, http.StatusBadGateway)
 			is.True(a.count()-1 <= x.calls)
 		})
 	}
 }
 
-// A user would see a model work for nobody: the caller closes its connection and
-// the engine goes on to the end.
-func TestCallerThatLeavesStopsTheWork(t *testing.T) {
-	for _, path := range []string{"/once/", "/again/", "/stream/", "/resumable/"} {
+// Guards against engines that continue to work on a call after its caller has disconnected.
+func TestCallerDisconnectCancelsAttempt(t *testing.T) {
+	for _, path := range []string{"/once/", "/idempotent/", "/stream/", "/resumable/"} {
 		t.Run(path, func(t *testing.T) {
 			is := is.New(t)
-			came := make(chan seen, 2)
-			a := &target{answer: func(_ net.Conn, s seen) {
-				came <- s
-				<-s.gone
+			arrived := make(chan received, 2)
+			a := &target{answer: func(_ net.Conn, s received) {
+				arrived <- s
+				<-s.closed
 			}}
-			g := front(t, a)
-			c, leave := context.WithCancel(t.Context())
+			g := newGateway(t, a)
+			c, cancel := context.WithCancel(t.Context())
 
 			go func() {
-				s := <-came
-				came <- s
+				s := <-arrived
+				arrived <- s
 
-				leave()
+				cancel()
 			}()
 
 			g.callWith(t, c, http.MethodPost, path, "x")
 
-			s := <-came
+			s := <-arrived
 
 			select {
-			case <-s.gone:
+			case <-s.closed:
 			case <-time.After(500 * time.Millisecond):
 				is.Fail()
 			}
@@ -251,14 +250,14 @@
 	}
 }
 
-// A caller whose rule says how long it may wait is answered then, and not when a
-// mute target speaks or its own deadline ends.
-func TestLongestTimeEndsACall(t *testing.T) {
+// Guards against a call that outlasts its rule's limit because the caller's own deadline is later
+// and the target does not answer.
+func TestRuleLimitsCallDuration(t *testing.T) {
 	for path, status := range map[string]int{"/once/": http.StatusGatewayTimeout, "/stream/": http.StatusGatewayTimeout} {
 		t.Run(path, func(t *testing.T) {
 			is := is.New(t)
-			a := &target{answer: func(_ net.Conn, s seen) { <-s.gone }}
-			g := front(t, a)
+			a := &target{answer: func(_ net.Conn, s received) { <-s.closed }}
+			g := newGateway(t, a)
 			b := time.Now()
 
 			is.Equal(g.call(t, http.MethodPost, path, "x", "Patience-Ms", "5000").status, status)
@@ -267,43 +266,43 @@
 	}
 }
 
-// A target that can't be reached costs a call that may run once nothing: nothing
-// was sent.
-func TestUnreachableTargetIsNoAttempt(t *testing.T) {
+// Guards against an unreachable target that uses up the attempt of a call that must run once,
+// although nothing was sent.
+func TestUnreachableTargetDoesNotCountAsAttempt(t *testing.T) {
 	is := is.New(t)
-	a, b := &target{answer: ok}, &target{answer: ok}
-	g := front(t, a, b)
-	g.facts.roster.Known["t0"].Address = porter.Free(t)
+	a, b := &target{answer: answerOK}, &target{answer: answerOK}
+	g := newGateway(t, a, b)
+	g.state.registry.Known["t0"].Address = porter.Free(t)
 
 	o := g.call(t, http.MethodPost, "/once/", "x")
 	is.Equal(o.status, http.StatusOK)
 	is.Equal(o.body, "from t1")
 
-	// With none reachable the refusal says that it did not run, when to come back,
-	// and comes at once.
-	g.facts.roster.Known["t1"].Address = porter.Free(t)
+	// With no target reachable, the refusal states that the call did not run and when to retry, and
+	// is sent at once.
+	g.state.registry.Known["t1"].Address = porter.Free(t)
 
 	s := time.Now()
-	o = g.call(t, http.MethodPost, "/open/", "x")
+	o = g.call(t, http.MethodPost, "/public/", "x")
 	is.Equal(o.status, http.StatusServiceUnavailable)
 	is.True(o.header.Get("Retry-After") != "")
 	is.True(time.Since(s) < 700*time.Millisecond)
 }
 
-// A mute target does not hold a call that may be repeated.
-func TestMuteTargetIsLeft(t *testing.T) {
+// Guards against a repeatable call that waits for an unresponsive target until its deadline.
+func TestUnresponsiveTargetIsAbandoned(t *testing.T) {
 	is := is.New(t)
-	a := &target{answer: func(_ net.Conn, s seen) { <-s.gone }}
-	b := &target{answer: ok}
-	g := front(t, a, b)
+	a := &target{answer: func(_ net.Conn, s received) { <-s.closed }}
+	b := &target{answer: answerOK}
+	g := newGateway(t, a, b)
 
 	s := time.Now()
-	o := g.call(t, http.MethodGet, "/again/", "")
+	o := g.call(t, http.MethodGet, "/idempotent/", "")
 	is.Equal(o.body, "from t1")
 	is.True(time.Since(s) < 400*time.Millisecond)
 }
 
-// muteDialer reaches nobody at an address for as long as it is set.
+// muteDialer lets connections to the given address time out.
 type muteDialer struct {
 	net.Dialer
 
@@ -320,24 +319,23 @@
 	return d.Dialer.DialContext(c, network, address)
 }
 
-// An instance is paused for some seconds. On waking, the time of every dial that was
-// under way has run out, and the instance takes all targets for unreachable; the few
-// that are left get all calls. What a pause shows says nothing about targets.
-func TestPauseIsNotHeldAgainstTargets(t *testing.T) {
+// Guards against a stalled instance that takes all targets for unreachable: during a pause of some
+// seconds every pending dial times out, and the few remaining targets would receive all calls.
+func TestStallDoesNotExcludeTargets(t *testing.T) {
 	for name, x := range map[string]struct {
 		stalled bool
 		next    string
 	}{
-		"a target that does not answer": {next: "from t1"},
-		"the process stood still":       {stalled: true, next: "from t0"},
+		"unresponsive target": {next: "from t1"},
+		"stalled process":     {stalled: true, next: "from t0"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			d := &muteDialer{}
-			g := frontBy(t, d, &target{answer: ok}, &target{answer: ok})
-			g.facts.stalled = x.stalled
+			g := newGatewayWithDialer(t, d, &target{answer: answerOK}, &target{answer: answerOK})
+			g.state.stalled = x.stalled
 
-			d.mute.Store(g.facts.roster.Known["t0"].Address.String())
+			d.mute.Store(g.state.registry.Known["t0"].Address.String())
 			is.Equal(g.call(t, http.MethodPost, "/once/", "x").body, "from t1")
 
 			d.mute.Store("")
@@ -346,25 +344,25 @@
 	}
 }
 
-// A data centre is cut off. Its instance reaches no other, shows that others would
-// serve its callers better, and ends their connections with the answers. When the cut
-// is over it finds out by itself: nobody calls any more.
-func TestCutOffInstanceSendsItsCallersElsewhere(t *testing.T) {
+// Guards against callers that keep using an instance whose data centre is cut off. The instance
+// must report the cut, close its callers' connections with the answers, and detect the end of the
+// cut by itself, since no more calls arrive.
+func TestCutOffInstanceClosesConnections(t *testing.T) {
 	is := is.New(t)
 	d := &muteDialer{}
-	g := frontBy(t, d, &target{answer: ok}, &target{answer: ok}, &target{answer: ok})
+	g := newGatewayWithDialer(t, d, &target{answer: answerOK}, &target{answer: answerOK}, &target{answer: answerOK})
 
-	for _, k := range g.facts.roster.Known {
+	for _, k := range g.state.registry.Known {
 		k.Address = porter.Refusing(t)
 	}
 
-	live := (&target{answer: ok}).serve(t)
+	live := (&target{answer: answerOK}).listen(t)
 
 	is.True(!g.forwarder.CutOff())
 
 	for range 100 {
-		is.Equal(g.call(t, http.MethodPost, "/open/", "x").status, http.StatusServiceUnavailable)
-		g.forwarder.Look(t.Context())
+		is.Equal(g.call(t, http.MethodPost, "/public/", "x").status, http.StatusServiceUnavailable)
+		g.forwarder.CheckConnectivity(t.Context())
 
 		if g.forwarder.CutOff() {
 			break
@@ -375,7 +373,7 @@
 
 	is.True(g.forwarder.CutOff())
 
-	q, err := http.NewRequestWithContext(t.Context(), http.MethodPost, g.URL+"/open/", strings.NewReader("x"))
+	q, err := http.NewRequestWithContext(t.Context(), http.MethodPost, g.URL+"/public/", strings.NewReader("x"))
 	is.NoErr(err)
 
 	q.Host = "app.example"
@@ -384,22 +382,22 @@
 	is.NoErr(a.Body.Close())
 	is.True(a.Close)
 
-	for _, k := range g.facts.roster.Known {
+	for _, k := range g.state.registry.Known {
 		k.Address = live
 	}
 
-	g.forwarder.Look(t.Context()) // Tries them.
-	g.forwarder.Look(t.Context()) // Sees that they are back.
+	g.forwarder.CheckConnectivity(t.Context()) // Connects to the targets.
+	g.forwarder.CheckConnectivity(t.Context()) // Finds that they are reachable.
 	is.True(!g.forwarder.CutOff())
 }
 
-// A target is slow, and the call can't go to another: the budget for repeats is spent,
-// or there is none. The call was taken away from the target all the same, and its caller
-// got a failure for an answer that was almost there.
-func TestSlowTargetIsLeftOnlyForAnother(t *testing.T) {
-	slow := func(n net.Conn, s seen) {
+// Guards against abandoning a slow target when the call can't be sent to another, since the retry
+// budget is exhausted or there is no other target: the caller would get an error instead of an
+// answer that was almost complete.
+func TestSlowTargetIsAbandonedOnlyForAnother(t *testing.T) {
+	slow := func(n net.Conn, s received) {
 		time.Sleep(250 * time.Millisecond)
-		ok(n, s)
+		answerOK(n, s)
 	}
 
 	for name, x := range map[string]struct {
@@ -407,16 +405,16 @@
 		others  int
 		want    string
 	}{
-		"another, and a budget": {targets: []*target{{answer: slow}, {answer: ok}}, want: "from t1"},
-		"no budget":             {targets: []*target{{answer: slow}, {answer: ok}}, others: 1 << 20, want: "from t0"},
-		"no other":              {targets: []*target{{answer: slow}}, want: "from t0"},
+		"another target and retry budget": {targets: []*target{{answer: slow}, {answer: answerOK}}, want: "from t1"},
+		"no retry budget":                 {targets: []*target{{answer: slow}, {answer: answerOK}}, others: 1 << 20, want: "from t0"},
+		"no other target":                 {targets: []*target{{answer: slow}}, want: "from t0"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			g := front(t, x.targets...)
-			g.facts.others = x.others
+			g := newGateway(t, x.targets...)
+			g.state.others = x.others
 
-			a := g.call(t, http.MethodGet, "/again/", "")
+			a := g.call(t, http.MethodGet, "/idempotent/", "")
 			is.Equal(a.status, http.StatusOK)
 			is.Equal(a.body, x.want)
 		})
--- a/internal/forwarder/process_test.go
+++ b/internal/forwarder/process_test.go
@@ -15,8 +15,8 @@
 	"github.com/auburntray/auburntray/internal/selector"
 )
 
-// leftAlone returns the IDs of the targets that are left alone.
-func (g *gateway) leftAlone() []string {
+// excluded returns the IDs of the excluded targets.
+func (g *gateway) excluded() []string {
 	o := []string{}
 
 	for _, v := range g.forwarder.Views() {
@@ -28,73 +28,74 @@
 	return o
 }
 
-// One instance meets another target at an address and tells the others. By the time they
-// hear of it the list has shown that the target started again, and the new process was left
-// alone for ten seconds by all but one of them.
-func TestAnothersWordIsOfOneProcess(t *testing.T) {
+// Guards against excluding the new process of a restarted target. An instance finds another process
+// at a target's address and notifies the others; by the time they receive this, the list shows that
+// the target has restarted. The new process was excluded for ten seconds by all other instances.
+func TestGoneReportConcernsOneProcess(t *testing.T) {
 	is := is.New(t)
-	g := front(t, &target{answer: ok}, &target{answer: ok})
+	g := newGateway(t, &target{answer: answerOK}, &target{answer: answerOK})
 
-	var told []enroller.Process
+	var notified []enroller.Process
 
-	g.forwarder.OnGone(func(p enroller.Process) { told = append(told, p) })
+	g.forwarder.OnGone(func(p enroller.Process) { notified = append(notified, p) })
 
-	old := g.facts.Roster().Known["t0"].Process()
-	g.list(g.restarted("t0"))
+	old := g.state.Registry().Known["t0"].Process()
+	g.setTargets(g.restarted("t0"))
 
-	g.forwarder.LearnGone([]enroller.Process{old, {ID: "t0"}, {ID: "unknown"}})
-	is.Equal(g.leftAlone(), []string{})
+	g.forwarder.MarkGone([]enroller.Process{old, {ID: "t0"}, {ID: "unknown"}})
+	is.Equal(g.excluded(), []string{})
 
-	g.forwarder.LearnGone([]enroller.Process{g.facts.Roster().Known["t0"].Process()})
-	is.Equal(g.leftAlone(), []string{"t0"})
-	is.Equal(len(told), 0) // Whoever said so told all.
+	g.forwarder.MarkGone([]enroller.Process{g.state.Registry().Known["t0"].Process()})
+	is.Equal(g.excluded(), []string{"t0"})
+	is.Equal(len(notified), 0) // The reporting instance has notified all others.
 
-	// It starts once more and is back at once.
-	g.list(g.restarted("t0"))
-	is.Equal(g.leftAlone(), []string{})
+	// It restarts once more and is readmitted at once.
+	g.setTargets(g.restarted("t0"))
+	is.Equal(g.excluded(), []string{})
 }
 
-func TestOwnWordNamesTheProcess(t *testing.T) {
+func TestGoneNotificationNamesTheProcess(t *testing.T) {
 	is := is.New(t)
-	g := front(t, &target{answer: func(n net.Conn, s seen) {
+	g := newGateway(t, &target{answer: func(n net.Conn, s received) {
 		reply(n, s, "421 Misdirected Request", "", "Not-Run: 1")
-	}}, &target{answer: ok})
+	}}, &target{answer: answerOK})
 
-	var told []enroller.Process
+	var notified []enroller.Process
 
-	g.forwarder.OnGone(func(p enroller.Process) { told = append(told, p) })
+	g.forwarder.OnGone(func(p enroller.Process) { notified = append(notified, p) })
 
-	is.Equal(g.call(t, http.MethodGet, "/again/", "").status, http.StatusOK)
-	is.Equal(told, []enroller.Process{g.facts.Roster().Known["t0"].Process()})
+	is.Equal(g.call(t, http.MethodGet, "/idempotent/", "").status, http.StatusOK)
+	is.Equal(notified, []enroller.Process{g.state.Registry().Known["t0"].Process()})
 }
 
-// A target starts again while calls run at its earlier process. Each ran, or may have run,
-// there, and is not sent again; how it ended is not held against the new process.
-func TestCallsInProgressAtTheEarlierProcess(t *testing.T) {
+// Guards against calls that run at a target while it restarts. Each of them ran, or may have run,
+// at the earlier process and must not be sent again; how it ends must not affect the health status
+// of the new process.
+func TestCallsInProgressAtReplacedProcess(t *testing.T) {
 	for name, x := range map[string]struct {
 		path   string
-		end    func(n net.Conn, s seen)
+		end    func(n net.Conn, s received)
 		status int
 	}{
-		"answers in full": {"/once/", ok, http.StatusOK},
-		"breaks":          {"/once/", func(n net.Conn, _ seen) { reset(n) }, http.StatusBadGateway},
-		"fails": {"/once/", func(n net.Conn, s seen) {
+		"full answer":       {"/once/", answerOK, http.StatusOK},
+		"broken connection": {"/once/", func(n net.Conn, _ received) { reset(n) }, http.StatusBadGateway},
+		"target error": {"/once/", func(n net.Conn, s received) {
 			reply(n, s, "500 Internal Server Error", "")
 		}, http.StatusInternalServerError},
-		"is another by now": {"/open/", func(n net.Conn, s seen) {
+		"misdirected": {"/public/", func(n net.Conn, s received) {
 			reply(n, s, "421 Misdirected Request", "", "Not-Run: 1")
 		}, http.StatusServiceUnavailable},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			reached, restarted := make(chan struct{}), make(chan struct{})
-			y := &target{answer: func(n net.Conn, s seen) {
+			y := &target{answer: func(n net.Conn, s received) {
 				close(reached)
 				<-restarted
 				x.end(n, s)
 			}}
-			z := &target{answer: ok}
-			g := front(t, y, z)
+			z := &target{answer: answerOK}
+			g := newGateway(t, y, z)
 
 			var w sync.WaitGroup
 
@@ -104,10 +105,10 @@
 
 			<-reached
 			is.Equal(g.forwarder.Views()[0].Load, 1.0)
-			g.list(g.restarted("t0"))
+			g.setTargets(g.restarted("t0"))
 
-			fresh := []selector.View{{Target: g.facts.Roster().Known["t0"]}, {Target: g.facts.Roster().Known["t1"]}}
-			is.Equal(g.forwarder.Views(), fresh) // Nothing runs at the new one.
+			fresh := []selector.View{{Target: g.state.Registry().Known["t0"]}, {Target: g.state.Registry().Known["t1"]}}
+			is.Equal(g.forwarder.Views(), fresh) // No call runs at the new process.
 
 			close(restarted)
 			w.Wait()
@@ -119,35 +120,35 @@
 	}
 }
 
-// dialled remembers the connections that it made.
-type dialled struct {
+// recordingDialer records the connections that it makes.
+type recordingDialer struct {
 	net.Dialer
 
 	mu    sync.Mutex
-	conns []*watched
+	conns []*watchedConn
 }
 
-// watched tells when its connection is closed on this side.
-type watched struct {
+// watchedConn signals when its connection is closed locally.
+type watchedConn struct {
 	net.Conn
 
 	closed chan struct{}
 	once   sync.Once
 }
 
-func (n *watched) Close() error {
+func (n *watchedConn) Close() error {
 	n.once.Do(func() { close(n.closed) })
 
 	return n.Conn.Close()
 }
 
-func (d *dialled) DialContext(c context.Context, network, address string) (net.Conn, error) {
+func (d *recordingDialer) DialContext(c context.Context, network, address string) (net.Conn, error) {
 	n, err := d.Dialer.DialContext(c, network, address)
 	if err != nil {
 		return nil, err
 	}
 
-	x := &watched{Conn: n, closed: make(chan struct{})}
+	x := &watchedConn{Conn: n, closed: make(chan struct{})}
 
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -157,15 +158,15 @@
 	return x, nil
 }
 
-func (d *dialled) made() []*watched {
+func (d *recordingDialer) connections() []*watchedConn {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
 	return slices.Clone(d.conns)
 }
 
-// kept says that a connection is still open.
-func kept(n *watched) bool {
+// isOpen reports whether a connection has not been closed locally.
+func isOpen(n *watchedConn) bool {
 	select {
 	case <-n.closed:
 		return false
@@ -174,63 +175,63 @@
 	}
 }
 
-// A target crashed with its machine's network and started again under its ID at its address.
-// No end of the old connections came through: a call on one of those that were kept waits
-// for an answer until its time is up. They are closed when the list shows the new process,
-// also one that a call still uses, once it is done.
-func TestKeptConnectionsEndWithTheirProcess(t *testing.T) {
+// Guards against calls on pooled connections to a process that no longer exists. When a machine
+// crashes with its network, its connections are never closed, and after a restart under the same ID
+// and address a call on one of them waits until its deadline. They must be closed when the list
+// shows the new process; a connection in use is closed when its call is done.
+func TestPooledConnectionsEndWithTheirProcess(t *testing.T) {
 	for name, x := range map[string]struct {
 		change func(g *gateway)
-		kept   bool
+		reused bool
 	}{
-		"started again": {func(g *gateway) { g.list(g.restarted("t0")) }, false},
-		"left":          {func(g *gateway) { g.enroller.Remove(time.Unix(1000, 0), "t0"); g.list() }, false},
-		"a heartbeat":   {func(g *gateway) { g.list(*g.facts.Roster().Known["t0"]) }, true},
-		"drains": {func(g *gateway) {
-			y := *g.facts.Roster().Known["t0"]
+		"restarted":             {func(g *gateway) { g.setTargets(g.restarted("t0")) }, false},
+		"removed from the list": {func(g *gateway) { g.enroller.Remove(time.Unix(1000, 0), "t0"); g.setTargets() }, false},
+		"heartbeat":             {func(g *gateway) { g.setTargets(*g.state.Registry().Known["t0"]) }, true},
+		"draining": {func(g *gateway) {
+			y := *g.state.Registry().Known["t0"]
 			y.Draining = true
-			g.list(y)
+			g.setTargets(y)
 		}, true},
-		"another started again": {func(g *gateway) { g.list(g.restarted("t1")) }, true},
+		"another target restarted": {func(g *gateway) { g.setTargets(g.restarted("t1")) }, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			d := &dialled{}
+			d := &recordingDialer{}
 			reached, changed := make(chan struct{}), make(chan struct{})
-			g := frontBy(t, d, &target{answer: func(n net.Conn, s seen) {
-				if s.path == "/again/held" {
+			g := newGatewayWithDialer(t, d, &target{answer: func(n net.Conn, s received) {
+				if s.path == "/idempotent/blocked" {
 					close(reached)
 					<-changed
 				}
 
-				ok(n, s)
-			}}, &target{answer: ok})
+				answerOK(n, s)
+			}}, &target{answer: answerOK})
 
-			is.Equal(g.call(t, http.MethodGet, "/again/", "").body, "from t0")
+			is.Equal(g.call(t, http.MethodGet, "/idempotent/", "").body, "from t0")
 
-			l := d.made()
+			l := d.connections()
 			is.Equal(len(l), 1)
 
 			var w sync.WaitGroup
 
-			w.Go(func() { is.Equal(g.call(t, http.MethodGet, "/again/held", "").body, "from t0") }) // On the kept one.
+			w.Go(func() { is.Equal(g.call(t, http.MethodGet, "/idempotent/blocked", "").body, "from t0") }) // On the pooled connection.
 			<-reached
-			is.Equal(len(d.made()), 1)
+			is.Equal(len(d.connections()), 1)
 			x.change(g)
-			is.True(kept(l[0])) // A call uses it.
+			is.True(isOpen(l[0])) // In use by a call.
 			close(changed)
 			w.Wait()
 
-			is.Equal(g.call(t, http.MethodGet, "/again/", "").status, http.StatusOK)
+			is.Equal(g.call(t, http.MethodGet, "/idempotent/", "").status, http.StatusOK)
 
-			if !x.kept {
-				is.Equal(len(d.made()), 2)
+			if !x.reused {
+				is.Equal(len(d.connections()), 2)
 				<-l[0].closed
 
 				return
 			}
 
-			is.True(kept(l[0]))
+			is.True(isOpen(l[0]))
 		})
 	}
 }
@@ -238,12 +239,12 @@
 // As above, for a connection that is idle when the list changes.
 func TestIdleConnectionsEndWithTheirProcess(t *testing.T) {
 	is := is.New(t)
-	d := &dialled{}
-	g := frontBy(t, d, &target{answer: ok}, &target{answer: ok})
-
-	is.Equal(g.call(t, http.MethodGet, "/again/", "").body, "from t0")
-	g.list(g.restarted("t0"))
-	is.Equal(g.call(t, http.MethodGet, "/again/", "").body, "from t0")
-	is.Equal(len(d.made()), 2) // A new one, to the new process.
-	<-d.made()[0].closed
+	d := &recordingDialer{}
+	g := newGatewayWithDialer(t, d, &target{answer: answerOK}, &target{answer: answerOK})
+
+	is.Equal(g.call(t, http.MethodGet, "/idempotent/", "").body, "from t0")
+	g.setTargets(g.restarted("t0"))
+	is.Equal(g.call(t, http.MethodGet, "/idempotent/", "").body, "from t0")
+	is.Equal(len(d.connections()), 2) // The second one is to the new process.
+	<-d.connections()[0].closed
 }
--- a/internal/forwarder/quarantine.go
+++ b/internal/forwarder/quarantine.go
@@ -16,31 +16,30 @@
 	"github.com/auburntray/auburntray/internal/selector"
 )
 
-// Quarantine remembers under which calls targets have ended, at all instances; a warner.Warner
-// does.
+// Quarantine records the calls that were running when targets crashed, across all instances. It is
+// implemented by warner.Warner.
 type Quarantine interface {
-	// Try says whether a call that is to be answered by a time may be sent to a target, and
-	// returns what is called when that has answered or ended.
+	// Try decides whether a call with a deadline may be sent to a target. The returned function
+	// must be called when the target has answered or crashed.
 	Try(c context.Context, d digester.Digest, deadline time.Time) (quarantiner.Verdict, bool, func())
-	// Ended takes that a process ended while a call was in flight there, and returns what
-	// the call may do from now on.
+	// Ended records that a process crashed while a call was running there, and returns the verdict
+	// on further sendings of the call.
 	Ended(d digester.Digest, p enroller.Name) quarantiner.Verdict
-	// Served takes that a call was answered in full.
+	// Served records that a call was answered in full.
 	Served(d digester.Digest)
 }
 
-// UseQuarantine sets who remembers under which calls targets have ended. It is called before
-// the first call comes.
-func (f *Forwarder) UseQuarantine(q Quarantine) {
+// SetQuarantine sets the quarantine. It must be called before the first call is served.
+func (f *Forwarder) SetQuarantine(q Quarantine) {
 	f.quarantine = q
 }
 
-// isolate refuses a call under which targets have ended again and again, at once and before it
-// costs anything.
+// checkQuarantine refuses a quarantined call, under which targets have crashed repeatedly, before
+// it costs anything.
 //
-// Sent on, it ends each target that begins to run it, and all other calls there break.
-func (f *Forwarder) isolate(x *exchange) error {
-	v, ok := f.letOut(x)
+// Forwarded, it would crash each target that runs it, and break all other calls there.
+func (f *Forwarder) checkQuarantine(x *exchange) error {
+	v, ok := f.quarantineAllows(x)
 
 	switch {
 	case ok:
@@ -48,35 +47,37 @@
 	case x.request.Context().Err() != nil:
 		return errCallerLeft
 	default:
-		return refuse(http.StatusServiceUnavailable, HeldBack, v.Wait(), "%s", v.Reason(time.Now()))
+		return refuse(http.StatusServiceUnavailable, Quarantined, v.Wait(), "%s", v.Reason(time.Now()))
 	}
 }
 
-// letOut says whether a call may be sent to a target now.
-func (f *Forwarder) letOut(x *exchange) (quarantiner.Verdict, bool) {
+// quarantineAllows decides whether a call may be sent to a target now. It ends the previous probe
+// call, if there is one.
+func (f *Forwarder) quarantineAllows(x *exchange) (quarantiner.Verdict, bool) {
 	if f.quarantine == nil {
 		return quarantiner.Verdict{}, true
 	}
 
-	x.endTrial()
+	x.finishProbe()
 
 	v, ok, end := f.quarantine.Try(x.request.Context(), x.digest, x.deadline)
-	x.trial = end
+	x.endProbe = end
 
 	return v, ok
 }
 
-// endTrial tells that the sending that was let out is over. Without one it does nothing.
-func (x *exchange) endTrial() {
-	if x.trial != nil {
-		x.trial()
-		x.trial = nil
+// finishProbe ends the current probe call. It does nothing if there is none.
+func (x *exchange) finishProbe() {
+	if x.endProbe != nil {
+		x.endProbe()
+		x.endProbe = nil
 	}
 }
 
-// learnEnd takes from the result of an attempt whether the target's process has ended under
-// the call, or has survived it, and says whether it has ended.
-func (f *Forwarder) learnEnd(c context.Context, x *exchange, t *enroller.Target, r result) bool {
+// detectCrash determines from the result of an attempt whether the target's process crashed while
+// running the call, and records that or that the target survived the call. It reports whether the
+// process crashed.
+func (f *Forwarder) detectCrash(c context.Context, x *exchange, t *enroller.Target, r result) bool {
 	switch {
 	case f.quarantine == nil || r.notRun:
 		return false
@@ -91,59 +92,61 @@
 	v := f.quarantine.Ended(x.digest, t.Key().Name())
 
 	f.mu.Lock()
-	f.confiner.Ended(time.Now(), t)
+	f.sharder.Ended(time.Now(), t)
 	f.mu.Unlock()
 
-	logrus.WithFields(x.fields()).WithFields(logrus.Fields{
+	logrus.WithFields(x.logFields()).WithFields(logrus.Fields{
 		"event": "targetEnded", "target": t.ID, "address": t.Address, "ends": v.Ends, "standing": v.Standing,
 	}).Warn()
 
 	return true
 }
 
-// LearnEnds takes other instances' word that processes of targets have ended under calls.
-func (f *Forwarder) LearnEnds(l []quarantiner.End) {
+// RecordCrashes applies a notification from another instance that processes of targets crashed while
+// running calls.
+func (f *Forwarder) RecordCrashes(l []quarantiner.End) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
-	r := f.facts.Roster()
+	r := f.state.Registry()
 
 	for _, e := range l {
 		if t, ok := r.Names[e.Process]; ok {
-			f.confiner.Ended(e.At, t)
+			f.sharder.Ended(e.At, t)
 		}
 	}
 }
 
-// confine says whether the customers of a group keep to their parts of its targets, and logs when
-// that changes. The lock is held.
-func (f *Forwarder) confine(now time.Time, group string, targets int) bool {
-	o := f.confiner.Confined(now, group, targets)
+// updateSharding reports whether the customers of a group are limited to their shards of its
+// targets, and logs changes. Requires f.mu to be held.
+func (f *Forwarder) updateSharding(now time.Time, group string, targets int) bool {
+	o := f.sharder.Confined(now, group, targets)
 
-	if o != f.confined[group] {
-		f.confined[group] = o
+	if o != f.sharded[group] {
+		f.sharded[group] = o
 		logrus.WithFields(logrus.Fields{"event": "customersConfined", "group": group, "targets": targets, "confined": o}).Warn()
 	}
 
 	return o
 }
 
-// witnesses returns the addresses of targets that are reached when a target is.
+// witnesses returns the addresses of targets that are reachable if the given target's data centre
+// is. They distinguish a crash of the target from a network cut.
 func (f *Forwarder) witnesses(t *enroller.Target) []netip.AddrPort {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
 	var o []netip.AddrPort
-	for _, x := range f.chooser.Witnesses(time.Now(), f.facts.Roster(), t) {
+	for _, x := range f.chooser.Witnesses(time.Now(), f.state.Registry(), t) {
 		o = append(o, x.Address)
 	}
 
 	return o
 }
 
-// unmade returns what a connection that was not made says of its target: whether it has ended, or
-// can't be reached.
-func (f *Forwarder) unmade(c context.Context, t *enroller.Target, err error) selector.Outcome {
+// dialOutcome determines from a failed connection attempt whether the target's process has crashed
+// or can't be reached.
+func (f *Forwarder) dialOutcome(c context.Context, t *enroller.Target, err error) selector.Outcome {
 	if prober.Refused(err) && f.client.prober.Reached(c, f.witnesses(t)) {
 		return selector.Crashed
 	}
--- a/internal/forwarder/quarantine_test.go
+++ b/internal/forwarder/quarantine_test.go
@@ -16,51 +16,51 @@
 	"github.com/auburntray/auburntray/internal/quarantiner"
 )
 
-// quarantine remembers in memory what it was told.
-type quarantine struct {
-	mu     sync.Mutex
-	q      *quarantiner.Quarantiner
-	served int
-	ended  []enroller.Name
-	came   []digester.Digest
-	// out is how many sendings were let out and are not over.
-	out int
+// fakeQuarantine is an in-memory forwarder.Quarantine.
+type fakeQuarantine struct {
+	mu       sync.Mutex
+	q        *quarantiner.Quarantiner
+	served   int
+	crashed  []enroller.Name
+	received []digester.Digest
+	// probes is the number of sendings that were permitted and are not over.
+	probes int
 }
 
-func newQuarantine(ends int) *quarantine {
+func newQuarantine(crashes int) *fakeQuarantine {
 	s := quarantiner.DefaultSettings()
-	s.Ends, s.Apart = ends, 0
+	s.Ends, s.Apart = crashes, 0
 
-	return &quarantine{q: quarantiner.New(s)}
+	return &fakeQuarantine{q: quarantiner.New(s)}
 }
 
-func (x *quarantine) Try(_ context.Context, d digester.Digest, _ time.Time) (quarantiner.Verdict, bool, func()) {
+func (x *fakeQuarantine) Try(_ context.Context, d digester.Digest, _ time.Time) (quarantiner.Verdict, bool, func()) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 
-	x.came = append(x.came, d)
+	x.received = append(x.received, d)
 	v := x.q.Come(time.Now(), d)
-	x.out++
+	x.probes++
 
 	return v, v.Standing != quarantiner.Held, func() {
 		x.mu.Lock()
 		defer x.mu.Unlock()
 
-		x.out--
+		x.probes--
 	}
 }
 
-func (x *quarantine) Ended(d digester.Digest, p enroller.Name) quarantiner.Verdict {
+func (x *fakeQuarantine) Ended(d digester.Digest, p enroller.Name) quarantiner.Verdict {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 
-	x.ended = append(x.ended, p)
+	x.crashed = append(x.crashed, p)
 	v, _ := x.q.Ended(time.Now(), d, p)
 
 	return v
 }
 
-func (x *quarantine) Served(d digester.Digest) {
+func (x *fakeQuarantine) Served(d digester.Digest) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 
@@ -68,11 +68,11 @@
 	x.q.Served(d)
 }
 
-// A caller sends a call that ends each target that begins to run it again and again. After
-// three targets have ended under it, it is refused at once, with the true word that it was not
-// run and when to come back; other calls are served as before.
-func TestCallThatEndsTargetsIsRefused(t *testing.T) {
-	for name, path := range map[string]string{"once": "/once/x", "idempotent": "/again/x", "stream": "/stream/x", "resumable": "/resumable/x"} {
+// Guards against a call that its caller repeats and that crashes each target that runs it. After
+// three crashes it must be refused at once, as not run and with a time to retry; other calls are
+// served as before.
+func TestCallThatCrashesTargetsIsRefused(t *testing.T) {
+	for name, path := range map[string]string{"once": "/once/x", "idempotent": "/idempotent/x", "stream": "/stream/x", "resumable": "/resumable/x"} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 
@@ -80,22 +80,22 @@
 
 			for range 6 {
 				y := &target{}
-				y.answer = func(n net.Conn, s seen) {
+				y.answer = func(n net.Conn, s received) {
 					if s.body == "fatal" {
-						y.end()
+						y.refuseConnections()
 						reset(n)
 
 						return
 					}
 
-					ok(n, s)
+					answerOK(n, s)
 				}
 				l = append(l, y)
 			}
 
-			g := front(t, l...)
+			g := newGateway(t, l...)
 			q := newQuarantine(3)
-			g.forwarder.UseQuarantine(q)
+			g.forwarder.SetQuarantine(q)
 
 			reached := func() (n int) {
 				for _, y := range l {
@@ -111,140 +111,140 @@
 			}
 
 			is.Equal(reached(), 3)
-			is.Equal(q.out, 0)
+			is.Equal(q.probes, 0)
 			is.Equal(a.status, http.StatusServiceUnavailable)
 
 			w, err := strconv.ParseFloat(a.header.Get("Retry-After"), 64)
 			is.NoErr(err)
 			is.True(w >= 45 && w <= 75)
 
-			is.Equal(g.call(t, http.MethodPost, "/again/x", "other").status, http.StatusOK)
+			is.Equal(g.call(t, http.MethodPost, "/idempotent/x", "other").status, http.StatusOK)
 		})
 	}
 }
 
-// A connection to a target breaks. Only when the target's process is gone is that held against
-// the call: a target that goes on has survived it, and taken for an end, calls whose answers
-// get lost would be refused.
-func TestWhatCountsAsAnEnd(t *testing.T) {
+// Guards against broken connections that are taken for crashes. Only a crash of the target's
+// process counts against a call; otherwise calls whose answers are lost would be refused.
+func TestCrashDetection(t *testing.T) {
 	for name, x := range map[string]struct {
-		fault string
-		gone  bool
-		ends  int
-		// served says that the call did its target no harm.
+		fault   string
+		crashed bool
+		crashes int
+		// served is set if the target survived the call.
 		served int
 	}{
 		"answered":                     {fault: "ok", served: 1},
-		"turned away":                  {fault: "notRun"},
-		"another process":              {fault: "moved"},
-		"an error":                     {fault: "error", served: 1},
-		"reset":                        {fault: "reset"},
-		"closed":                       {fault: "closed"},
-		"cut short":                    {fault: "short"},
-		"no answer in the protocol":    {fault: "garbage"},
-		"reset, and gone":              {fault: "reset", gone: true, ends: 1},
-		"closed, and gone":             {fault: "closed", gone: true, ends: 1},
-		"cut short, and gone":          {fault: "short", gone: true, ends: 1},
-		"answered, and gone after it":  {fault: "ok", gone: true, served: 1},
-		"turned away by one that goes": {fault: "notRun", gone: true},
+		"refused":                      {fault: "notRun"},
+		"misdirected":                  {fault: "misdirected"},
+		"error answer":                 {fault: "error", served: 1},
+		"connection reset":             {fault: "reset"},
+		"connection closed":            {fault: "closed"},
+		"answer cut short":             {fault: "short"},
+		"invalid HTTP":                 {fault: "garbage"},
+		"connection reset by a crash":  {fault: "reset", crashed: true, crashes: 1},
+		"connection closed by a crash": {fault: "closed", crashed: true, crashes: 1},
+		"answer cut short by a crash":  {fault: "short", crashed: true, crashes: 1},
+		"answered before a crash":      {fault: "ok", crashed: true, served: 1},
+		"refused before a crash":       {fault: "notRun", crashed: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			y := &target{}
-			y.answer = func(n net.Conn, s seen) {
-				if x.gone {
-					y.end()
+			y.answer = func(n net.Conn, s received) {
+				if x.crashed {
+					y.refuseConnections()
 				}
 
 				faults()[x.fault](n, s)
 			}
 
-			g := front(t, y)
+			g := newGateway(t, y)
 			q := newQuarantine(3)
-			g.forwarder.UseQuarantine(q)
+			g.forwarder.SetQuarantine(q)
 			g.call(t, http.MethodPost, "/once/", "x")
 
-			is.Equal(len(q.ended), x.ends)
+			is.Equal(len(q.crashed), x.crashes)
 			is.Equal(q.served, x.served)
 
-			for _, p := range q.ended {
-				is.Equal(p, g.facts.Roster().Known["t0"].Key().Name())
+			for _, p := range q.crashed {
+				is.Equal(p, g.state.Registry().Known["t0"].Key().Name())
 			}
 		})
 	}
 }
 
-// A data centre is cut off, and the cut resets what is open and refuses what is new. Seen from
-// there all targets elsewhere ended under the calls that were in flight, which would be held back.
-func TestCutThatRefusesIsNoEnd(t *testing.T) {
+// Guards against a network cut that resets open connections and refuses new ones. From the data
+// centre that is cut off all other targets seem to have crashed, and the calls in flight there
+// would be quarantined.
+func TestNetworkCutIsNotCrash(t *testing.T) {
 	is := is.New(t)
-	y, z := &target{}, &target{answer: ok}
-	y.answer = func(n net.Conn, _ seen) {
-		y.end()
-		z.end()
+	y, z := &target{}, &target{answer: answerOK}
+	y.answer = func(n net.Conn, _ received) {
+		y.refuseConnections()
+		z.refuseConnections()
 		reset(n)
 	}
 
-	g := front(t, y, z)
+	g := newGateway(t, y, z)
 	q := newQuarantine(3)
-	g.forwarder.UseQuarantine(q)
+	g.forwarder.SetQuarantine(q)
 	g.call(t, http.MethodPost, "/once/", "x")
 
 	is.Equal(y.count(), 1)
-	is.Equal(len(q.ended), 0)
+	is.Equal(len(q.crashed), 0)
 }
 
-// A caller leaves, which closes its connection to the target, just as the target ends. What
-// broke there is the caller's doing and no sign of an end.
-func TestCallersThatLeaveAreNoSign(t *testing.T) {
+// Guards against a caller that disconnects, which closes its connection to the target, just as the
+// target crashes. The broken connection is then no evidence of a crash.
+func TestCallerDisconnectIsNotCrash(t *testing.T) {
 	is := is.New(t)
 	y := &target{}
-	c, leave := context.WithCancel(t.Context())
-	y.answer = func(_ net.Conn, s seen) {
-		y.end()
-		leave()
-		<-s.gone
+	c, cancel := context.WithCancel(t.Context())
+	y.answer = func(_ net.Conn, s received) {
+		y.refuseConnections()
+		cancel()
+		<-s.closed
 	}
 
-	g := front(t, y)
+	g := newGateway(t, y)
 	q := newQuarantine(1)
-	g.forwarder.UseQuarantine(q)
+	g.forwarder.SetQuarantine(q)
 	g.callWith(t, c, http.MethodPost, "/once/", "x")
-	g.Close() // Waits for the call's end.
+	g.Close() // Waits until the call has ended.
 
-	is.Equal(len(q.ended), 0)
+	is.Equal(len(q.crashed), 0)
 }
 
-// The same call comes under another ID, with other headers, or going on with a stream: it is
-// known for the same.
-func TestTheSameCallIsKnown(t *testing.T) {
+// Guards against a call that escapes quarantine under another ID, with other headers, or by
+// resuming a stream.
+func TestCallDigest(t *testing.T) {
 	for name, x := range map[string]struct {
 		method, path, body string
 		headers            []string
 		same               bool
 	}{
-		"again":           {http.MethodPost, "/open/a?b=c", "x", nil, true},
-		"another ID":      {http.MethodPost, "/open/a?b=c", "x", []string{"Id", "call-2"}, true},
-		"goes on":         {http.MethodPost, "/open/a?b=c", "x", []string{"Last", "3"}, true},
-		"another header":  {http.MethodPost, "/open/a?b=c", "x", []string{"Other", "3"}, true},
-		"another method":  {http.MethodPut, "/open/a?b=c", "x", nil, false},
-		"another path":    {http.MethodPost, "/open/b?b=c", "x", nil, false},
-		"another query":   {http.MethodPost, "/open/a?b=d", "x", nil, false},
-		"another body":    {http.MethodPost, "/open/a?b=c", "y", nil, false},
-		"another's":       {http.MethodPost, "/once/a?b=c", "x", nil, false},
-		"without a query": {http.MethodPost, "/open/a", "x", nil, false},
+		"repeated":         {http.MethodPost, "/public/a?b=c", "x", nil, true},
+		"another ID":       {http.MethodPost, "/public/a?b=c", "x", []string{"Id", "call-2"}, true},
+		"resumed stream":   {http.MethodPost, "/public/a?b=c", "x", []string{"Last", "3"}, true},
+		"another header":   {http.MethodPost, "/public/a?b=c", "x", []string{"Other", "3"}, true},
+		"another method":   {http.MethodPut, "/public/a?b=c", "x", nil, false},
+		"another path":     {http.MethodPost, "/public/b?b=c", "x", nil, false},
+		"another query":    {http.MethodPost, "/public/a?b=d", "x", nil, false},
+		"another body":     {http.MethodPost, "/public/a?b=c", "y", nil, false},
+		"another customer": {http.MethodPost, "/once/a?b=c", "x", nil, false},
+		"without a query":  {http.MethodPost, "/public/a", "x", nil, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			g := front(t, &target{answer: ok})
+			g := newGateway(t, &target{answer: answerOK})
 			q := newQuarantine(3)
-			g.forwarder.UseQuarantine(q)
+			g.forwarder.SetQuarantine(q)
 
-			g.call(t, http.MethodPost, "/open/a?b=c", "x")
+			g.call(t, http.MethodPost, "/public/a?b=c", "x")
 			g.call(t, x.method, x.path, x.body, x.headers...)
 
-			is.Equal(len(q.came), 2)
-			is.Equal(q.came[0] == q.came[1], x.same)
+			is.Equal(len(q.received), 2)
+			is.Equal(q.received[0] == q.received[1], x.same)
 		})
 	}
 }
--- a/internal/forwarder/refusal.go
+++ b/internal/forwarder/refusal.go
@@ -11,63 +11,63 @@
 )
 
 // errCallerLeft means that the caller closed its connection.
-var errCallerLeft = errors.New("the caller left")
+var errCallerLeft = errors.New("caller disconnected")
 
 const (
-	// startWait is when to come back to an instance that has just started: it
-	// reads its catalog within a few hundred milliseconds.
+	// startWait is the Retry-After of an instance that has just started. It reads its catalog
+	// within a few hundred milliseconds.
 	startWait = 300 * time.Millisecond
-	// staleWait is when to come back to an instance that may not know the newest
-	// catalog; by then it has asked the platform and others again.
+	// staleWait is the Retry-After of an instance whose catalog may be out of date. By then it has
+	// queried the platform and other instances again.
 	staleWait = 300 * time.Millisecond
-	// turnWait is when to come back to another instance; the balancer chooses one
-	// at once.
-	turnWait = 50 * time.Millisecond
-	// failWait is when to come back after no target could take a call. It is
-	// about how long a full target needs to have room again.
-	failWait = 250 * time.Millisecond
-	// fullWait is when to come back to targets with a longer line than callers wait
-	// in. A line of that length is gone in about a second when no more come.
-	fullWait = time.Second
-	// evacuatedWait is when to come back while all that could serve is evacuated, which
-	// operators end in seconds at best.
+	// rejectWait is the Retry-After when another instance should serve the call. The load balancer
+	// selects one at once.
+	rejectWait = 50 * time.Millisecond
+	// noTargetWait is the Retry-After when no target could run the call. It is about the time in
+	// which a full target has a free slot again.
+	noTargetWait = 250 * time.Millisecond
+	// overloadWait is the Retry-After when the queues at the targets are longer than callers wait.
+	// Such a queue is processed in about a second if no more calls arrive.
+	overloadWait = time.Second
+	// evacuatedWait is the Retry-After while all data centres that could serve the call are
+	// evacuated. Operators take seconds at best to end an evacuation.
 	evacuatedWait = time.Second
-	// leavingWait is when to come back while all that could serve leave. Others take their places, at
-	// a time that nobody told.
+	// leavingWait is the Retry-After while all targets that could serve the call are shutting down.
+	// It is not known when others replace them.
 	leavingWait = time.Second
 )
 
-// Reason says in a word why a call was given up on, for logs and counts.
+// Reason is the reason for a refusal, for logs and metrics.
 type Reason string
 
-// The reasons.
+// The reasons for refusals.
 const (
-	BadRequest Reason = "badRequest"
-	TooLarge   Reason = "tooLarge"
-	LongHeader Reason = "longHeader"
-	NoCatalog  Reason = "noCatalog"
-	NoRule     Reason = "noRule"
-	NoKey      Reason = "unknownKey"
-	OldCatalog Reason = "oldCatalog"
-	NoTarget   Reason = "noTarget"
-	TooLate    Reason = "tooLate"
-	NoAnswer   Reason = "noAnswer"
-	Stopping   Reason = "stopping"
-	Busy       Reason = "busy"
-	Overload   Reason = "overload"
-	HeldBack   Reason = "heldBack"
-	Evacuated  Reason = "evacuated"
-	Cold       Reason = "targetsCold"
-	Leaving    Reason = "targetsLeaving"
-	Resting    Reason = "targetsResting"
+	BadRequest        Reason = "badRequest"
+	BodyTooLarge      Reason = "tooLarge"
+	HeaderTooLarge    Reason = "longHeader"
+	NoCatalog         Reason = "noCatalog"
+	NoRule            Reason = "noRule"
+	UnknownKey        Reason = "unknownKey"
+	StaleCatalog      Reason = "oldCatalog"
+	NoTarget          Reason = "noTarget"
+	DeadlineExceeded  Reason = "tooLate"
+	NoAnswer          Reason = "noAnswer"
+	Stopping          Reason = "stopping"
+	Busy              Reason = "busy"
+	Overload          Reason = "overload"
+	Quarantined       Reason = "heldBack"
+	Evacuated         Reason = "evacuated"
+	TargetsCold       Reason = "targetsCold"
+	TargetsLeaving    Reason = "targetsLeaving"
+	TargetsBackingOff Reason = "targetsResting"
 )
 
-// Refusal is the gateway's own answer to a call that it has given up on. With
-// the status 503 the call was not run and never will be.
+// Refusal is the gateway's own answer to a call that it does not forward or gives up on. With the
+// status 503 the call was not run and never will be.
 type Refusal struct {
 	Status int
 	Reason Reason
-	// Wait is when to come back; zero says that it would not help.
+	// Wait is when the caller should retry; zero means that a retry would not help.
 	Wait    time.Duration
 	Message string
 }
@@ -77,21 +77,20 @@
 	return fmt.Sprintf("%d: %s", r.Status, r.Message)
 }
 
-// refuse returns a refusal. Callers that are refused together come back spread over
-// half the wait, a quarter before and after it: all at once they would be refused
-// together again.
+// refuse returns a refusal. The wait is spread evenly from three to five quarters of its value:
+// callers that are refused together and come back together would be refused together again.
 func refuse(status int, r Reason, wait time.Duration, format string, a ...any) *Refusal {
 	if wait > 0 {
-		wait = wait*3/4 + rand.N(wait/2) //nolint:gosec,mnd // Spreads callers.
+		wait = wait*3/4 + rand.N(wait/2) //nolint:gosec,mnd // Jitter needs no secure source.
 	}
 
 	return &Refusal{Status: status, Reason: r, Wait: wait, Message: fmt.Sprintf(format, a...)}
 }
 
-// afterSpread returns the wait with which refused callers come back spread over a time that begins
-// when a wait is over, and not before.
+// afterSpread returns the wait for which no refused caller comes back before d has passed, after
+// the spread that refuse adds.
 func afterSpread(d time.Duration) time.Duration {
-	return d * 4 / 3 //nolint:mnd // The least of the spread is three quarters.
+	return d * 4 / 3 //nolint:mnd // The lower end of the spread is three quarters.
 }
 
 func (r *Refusal) write(w http.ResponseWriter) {
--- a/internal/forwarder/region_test.go
+++ b/internal/forwarder/region_test.go
@@ -11,7 +11,7 @@
 	"github.com/auburntray/auburntray/internal/cataloger"
 )
 
-// Guards against a call that reaches a region which its rule or its customer does not name.
+// Guards against calls that reach a region that their rule or customer does not permit.
 func TestRegions(t *testing.T) {
 	for name, x := range map[string]struct {
 		rule, customer []string
@@ -19,25 +19,25 @@
 		status         int
 		calls          []int
 	}{
-		"none named":               {path: "/once/", status: http.StatusOK, calls: []int{1, 0}},
-		"the rule's":               {rule: []string{"r1"}, path: "/once/", status: http.StatusOK, calls: []int{0, 1}},
-		"the customer's":           {customer: []string{"r1"}, path: "/once/", status: http.StatusOK, calls: []int{0, 1}},
-		"both, one in common":      {rule: []string{"r0", "r1"}, customer: []string{"r1"}, path: "/again/", status: http.StatusOK, calls: []int{0, 1}},
-		"both, none in common":     {rule: []string{"r0"}, customer: []string{"r1"}, path: "/again/", status: http.StatusServiceUnavailable, calls: []int{0, 0}},
-		"one that no target has":   {rule: []string{"r9"}, path: "/once/", status: http.StatusServiceUnavailable, calls: []int{0, 0}},
-		"without a name":           {rule: []string{""}, path: "/once/", status: http.StatusServiceUnavailable, calls: []int{0, 0}},
-		"a rule that is open":      {customer: []string{"r1"}, path: "/open/", status: http.StatusOK, calls: []int{1, 0}},
-		"a second try keeps to it": {rule: []string{"r0"}, path: "/again/", status: http.StatusBadGateway, calls: []int{1, 0}},
+		"no regions": {path: "/once/", status: http.StatusOK, calls: []int{1, 0}},
+		"rule":       {rule: []string{"r1"}, path: "/once/", status: http.StatusOK, calls: []int{0, 1}},
+		"customer":   {customer: []string{"r1"}, path: "/once/", status: http.StatusOK, calls: []int{0, 1}},
+		"rule and customer, one region in common": {rule: []string{"r0", "r1"}, customer: []string{"r1"}, path: "/idempotent/", status: http.StatusOK, calls: []int{0, 1}},
+		"rule and customer, no region in common":  {rule: []string{"r0"}, customer: []string{"r1"}, path: "/idempotent/", status: http.StatusServiceUnavailable, calls: []int{0, 0}},
+		"region without targets":                  {rule: []string{"r9"}, path: "/once/", status: http.StatusServiceUnavailable, calls: []int{0, 0}},
+		"empty name":                              {rule: []string{""}, path: "/once/", status: http.StatusServiceUnavailable, calls: []int{0, 0}},
+		"public rule ignores customer":            {customer: []string{"r1"}, path: "/public/", status: http.StatusOK, calls: []int{1, 0}},
+		"second attempt stays in the region":      {rule: []string{"r0"}, path: "/idempotent/", status: http.StatusBadGateway, calls: []int{1, 0}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
-			a, b := &target{answer: ok}, &target{answer: ok}
+			a, b := &target{answer: answerOK}, &target{answer: answerOK}
 
 			if x.status == http.StatusBadGateway {
-				a.answer = func(n net.Conn, _ seen) { reset(n) }
+				a.answer = func(n net.Conn, _ received) { reset(n) }
 			}
 
-			g := front(t, a, b)
+			g := newGateway(t, a, b)
 			l := rules()
 
 			for k := range l {
@@ -49,7 +49,7 @@
 				Customers: []cataloger.Customer{{Name: "customer-1", Keys: []string{"key-1"}, Regions: x.customer}},
 			})
 			i.NoErr(err)
-			g.facts.learn(c)
+			g.state.setCatalog(c)
 
 			n := time.Now()
 			o := g.call(t, http.MethodGet, x.path, "")
--- /dev/null
+++ b/internal/forwarder/reply.go
@@ -0,0 +1,84 @@
+package forwarder
+
+import (
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/selector"
+)
+
+// handleReply processes what a target reports about itself in the headers of an answer, whatever
+// becomes of the call.
+func (f *Forwarder) handleReply(x *exchange, t *enroller.Target, p Reply) {
+	// The reply comes from another target, which now has the address.
+	if p.Misdirected {
+		return
+	}
+
+	x.reply = p
+	f.reportLoad(x, t, p)
+
+	if p.Leaving {
+		f.handleLeaving(t)
+	}
+
+	f.mu.Lock()
+	defer f.mu.Unlock()
+
+	switch n := time.Now(); {
+	case p.Backoff > 0:
+		f.chooser.StartBackoff(n, t, p.Backoff)
+	case !p.NotRun:
+		f.chooser.Answered(n, t)
+	}
+}
+
+// accepts reports whether a target still accepts calls. While its home node was asked for a slot,
+// the target may have announced its shutdown or requested a backoff, or its data centre may have
+// been evacuated.
+func (f *Forwarder) accepts(t *enroller.Target) bool {
+	if !f.state.Registry().Takes(t) {
+		return false
+	}
+
+	f.mu.Lock()
+	defer f.mu.Unlock()
+
+	return !f.chooser.InBackoff(time.Now(), t)
+}
+
+// remainingBackoff returns the time until the first backoff ends if all targets that could serve a
+// call have requested one, and zero otherwise.
+func (f *Forwarder) remainingBackoff(x *exchange, r *enroller.Roster) time.Duration {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+
+	if d, ok := f.chooser.GroupBackoff(time.Now(), r, x.group, x.query(f.settings)); ok {
+		return d
+	}
+
+	return 0
+}
+
+// handleLeaving records that a target announced its shutdown, and notifies other instances.
+//
+// They would otherwise learn it from the list of targets, which lags and may be unavailable for
+// longer than the target keeps running.
+func (f *Forwarder) handleLeaving(t *enroller.Target) {
+	if x := f.state.Registry().Processes[t.Key()]; x != nil && x.Leaving {
+		return
+	}
+
+	if p := t.Process(); f.state.MarkLeaving(p) {
+		f.logLeaving(p, selector.Own)
+		f.notifyLeaving(p)
+	}
+}
+
+// logLeaving logs and counts that a target is excluded because its process announced its shutdown.
+func (f *Forwarder) logLeaving(p enroller.Process, s selector.Source) {
+	f.meter.Left("targetLeaves", true)
+	logrus.WithFields(logrus.Fields{"event": "targetLeaves", "target": p.ID, "source": s}).Info()
+}
--- /dev/null
+++ b/internal/forwarder/reservation.go
@@ -0,0 +1,181 @@
+package forwarder
+
+import (
+	"context"
+	"time"
+
+	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/reserver"
+	"github.com/auburntray/auburntray/internal/seeker"
+	"github.com/auburntray/auburntray/internal/selector"
+	"github.com/auburntray/auburntray/internal/tallier"
+)
+
+// maxCountDrift is by how many calls the load that a target reports may exceed its home node's
+// count before the home node is told. About that many calls come and go while a call begins.
+const maxCountDrift = 2
+
+// SlotReserver reserves slots for calls at targets. The home node of a target, the one instance
+// responsible for it, counts the calls of all instances. It is implemented by reserver.Reserver.
+type SlotReserver interface {
+	// Reserve requests a slot for one call and returns the function that releases it.
+	Reserve(c context.Context, t *enroller.Target, q tallier.Request) (tallier.Verdict, reserver.Release)
+	// Report reports the load that a target stated to the target's home node.
+	Report(t *enroller.Target, calls int)
+}
+
+// SetReserver sets the reserver of slots. It must be called before the first call is served.
+func (f *Forwarder) SetReserver(h SlotReserver) {
+	f.reserver = h
+}
+
+// reservation is the slot reserved for a call. The zero value is no reservation.
+type reservation struct {
+	verdict tallier.Verdict
+	release reserver.Release
+	// pace is the time until the answer began, as a multiple of the latency objective; zero until
+	// it has begun.
+	pace float64
+}
+
+// end releases the slot with the outcome of the call. Further calls do nothing.
+func (r *reservation) end(o selector.Outcome) {
+	if r.release != nil {
+		r.release(signOf(o), r.pace)
+		r.release = nil
+	}
+}
+
+// signOf returns the sign that reports an outcome to the home node of a target.
+func signOf(o selector.Outcome) tallier.Sign {
+	switch o {
+	case selector.Answered, selector.Shed:
+		return tallier.Well
+	case selector.Failed:
+		return tallier.Failed
+	case selector.Unreachable, selector.Crashed:
+		return tallier.Unreached
+	case selector.Gone, selector.Inconclusive:
+		return tallier.Nothing
+	default:
+		return tallier.Nothing
+	}
+}
+
+// choose selects the next target, counts the call there and reserves a slot at the target's home
+// node. It returns false if there is no target or none with a free slot.
+//
+// The local state of a target may be a second old. If its home node reports that the target is full
+// or excluded, that is recorded and another target is selected.
+func (f *Forwarder) choose(c context.Context, x *exchange) (selector.Choice, bool) {
+	s := seeker.Seeker{Prompt: len(x.sharedPrefixes) > 0}
+
+	for {
+		t, ok := f.pick(x, s.Full())
+		if !ok {
+			return t, false
+		}
+
+		f.reserve(c, x, t, &s)
+
+		if !f.accepts(t.Target) {
+			f.withdraw(x, t)
+
+			continue
+		}
+
+		n := s.Next(x.reservation.verdict.Outcome)
+		if n == seeker.Take {
+			return t, true
+		}
+
+		f.decline(t, x.reservation.verdict)
+
+		if n == seeker.Refuse {
+			x.targetsFull = true
+
+			return t, false
+		}
+	}
+}
+
+// pick selects a target by local state and counts the call there. Declined is how many targets
+// turned out to be full so far.
+func (f *Forwarder) pick(x *exchange, declined int) (selector.Choice, bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+
+	n := time.Now()
+
+	r := f.state.Registry()
+	x.sharded = f.updateSharding(n, x.group, len(r.Groups[x.group]))
+
+	q := x.query(f.settings)
+	q.Declined, q.Sharded = declined, x.sharded
+
+	t, ok := f.chooser.Choose(n, r, x.group, q)
+	x.coldTargets, x.backingOff = t.Cold, t.BackingOff
+
+	if ok {
+		f.chooser.Start(n, t.Target)
+	}
+
+	return t, ok
+}
+
+// reserve requests a slot from the home node of a target. No slot is needed at a target that does
+// not report its number of slots, since the home node has no bound to enforce.
+func (f *Forwarder) reserve(c context.Context, x *exchange, t selector.Choice, s *seeker.Seeker) {
+	x.reservation = reservation{}
+
+	if f.reserver == nil || t.Target.Slots == 0 {
+		return
+	}
+
+	x.reservation.verdict, x.reservation.release = f.reserver.Reserve(c, t.Target, tallier.Request{
+		Most: s.Most(t.Bound), Until: x.deadline, Usual: t.MedianPace, Anyway: s.Anyway(),
+	})
+	f.meter.Reserved(x.group, x.reservation.verdict.Outcome.String())
+
+	if p := x.reservation.verdict.Pace; p > 0 {
+		f.mu.Lock()
+		f.chooser.ReportPace(t.Target, p)
+		f.mu.Unlock()
+	}
+}
+
+// withdraw undoes the selection of a target that no longer accepts calls.
+func (f *Forwarder) withdraw(x *exchange, t selector.Choice) {
+	x.reservation.end(selector.Inconclusive)
+
+	f.mu.Lock()
+	defer f.mu.Unlock()
+
+	f.chooser.Withdraw(time.Now(), t)
+}
+
+// decline records that the home node of a target reported it as full or excluded.
+func (f *Forwarder) decline(t selector.Choice, v tallier.Verdict) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+
+	n := time.Now()
+
+	if v.Outcome == tallier.Left {
+		f.chooser.DeclineUnhealthy(n, t)
+	} else {
+		f.chooser.Decline(n, t, v.Calls)
+	}
+}
+
+// reportLoad records the load that a target reported, and informs the home node if it counts too
+// few calls.
+func (f *Forwarder) reportLoad(x *exchange, t *enroller.Target, p Reply) {
+	f.mu.Lock()
+	f.chooser.ReportLoad(time.Now(), t, selector.LoadReport{Running: p.Running, Waiting: p.Waiting, Slots: p.Slots})
+	f.mu.Unlock()
+
+	if n := p.Running + p.Waiting; x.reservation.verdict.Outcome == tallier.Granted && n > x.reservation.verdict.Calls+maxCountDrift {
+		f.reserver.Report(t, n)
+	}
+}
--- /dev/null
+++ b/internal/forwarder/sharding_test.go
@@ -0,0 +1,67 @@
+package forwarder_test
+
+import (
+	"net"
+	"net/http"
+	"strconv"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"github.com/auburntray/auburntray/internal/quarantiner"
+)
+
+// Guards against one customer that crashes all targets by sending a new fatal call every quarter of
+// a second, each of which is recognised too late. When other instances report crashes one after the
+// other, each customer must be limited to its shard of the targets.
+func TestCrashesStartShuffleSharding(t *testing.T) {
+	for name, x := range map[string]struct {
+		every time.Duration
+		used  int
+	}{
+		"crashes one after the other": {every: 600 * time.Millisecond, used: 3},
+		"crashes at the same time":    {used: 9},
+	} {
+		t.Run(name, func(t *testing.T) {
+			i := is.New(t)
+
+			var l []*target
+			for range 9 {
+				l = append(l, &target{answer: answerStream})
+			}
+
+			g := newGateway(t, l...)
+			now := time.Now()
+
+			var crashes []quarantiner.End
+
+			for n, k := range g.state.Registry().Groups["g"] {
+				crashes = append(crashes, quarantiner.End{Process: k.Key().Name(), At: now.Add(time.Duration(n-9) * x.every)})
+			}
+
+			g.forwarder.RecordCrashes(append(crashes, quarantiner.End{Process: 1, At: now}))
+
+			// Distinct prompts spread the calls over all targets that they may use.
+			for n := range 200 {
+				g.call(t, http.MethodPost, "/stream/", "", "Key", "key-1", "Prompt", strconv.Itoa(n))
+			}
+
+			used := 0
+
+			for _, k := range l {
+				if k.count() > 0 {
+					used++
+				}
+			}
+
+			i.Equal(used, x.used)
+		})
+	}
+}
+
+func answerStream(n net.Conn, s received) {
+	beginStream(n, s)
+	chunk(n, event(1))
+	finishStream(n)
+}
--- a/internal/forwarder/stream.go
+++ b/internal/forwarder/stream.go
@@ -13,28 +13,28 @@
 	"github.com/auburntray/auburntray/internal/splitter"
 )
 
-// pauseFactor is how many times the longest pause of full use a stream that may
-// go on elsewhere waits for its next event.
+// pauseFactor is the multiple of the rule's longest acceptable pause that a resumable stream waits
+// for its next event.
 const pauseFactor = 4
 
-// stream makes an attempt whose answer is passed on event by event.
-func (f *Forwarder) stream(c context.Context, stop context.CancelCauseFunc, x *exchange, t selector.Choice) result {
+// streamAttempt makes an attempt whose answer is relayed event by event.
+func (f *Forwarder) streamAttempt(c context.Context, stop context.CancelCauseFunc, x *exchange, t selector.Choice) result {
 	group := x.group
 
-	g := newGuard(func() { f.leaveSlow(t, group, stop) })
-	defer g.end()
+	g := newStepTimer(func() { f.abandonSlow(t, group, stop) })
+	defer g.stop()
 
-	g.set(f.firstWait(x))
+	g.set(f.firstPartTimeout(x))
 
 	a, p, r := f.send(c, x, t)
 	if r.err != nil {
 		return r
 	}
 
-	defer a.Body.Close() //nolint:errcheck // Read to its end, or given up.
+	defer a.Body.Close() //nolint:errcheck // Read to its end or abandoned.
 
 	if a.StatusCode >= http.StatusMultipleChoices || !p.Sealed {
-		return f.failure(a)
+		return f.readFailure(a)
 	}
 
 	s := splitter.New(a.Body)
@@ -42,27 +42,27 @@
 	for first := true; ; first = false {
 		e, id, err := s.Next()
 		if errors.Is(err, io.EOF) {
-			return f.finish(x, a)
+			return f.completeStream(x, a)
 		}
 
 		if err != nil {
 			return result{err: errors.Mark(err, errBroken), outcome: selector.Failed}
 		}
 
-		if !follows(x.lastEvent, id) {
+		if !isNextEvent(x.lastEvent, id) {
 			return result{err: errors.Mark(errors.Newf("event %q came after %q", id, x.lastEvent), errBroken), outcome: selector.Failed}
 		}
 
 		if first {
-			f.read(t)
+			f.recordPromptRead(t)
 		}
 
 		if !x.relayed {
-			f.begun(x, t)
+			f.recordFirstPart(x, t)
 		}
 
-		f.begin(x, a)
-		x.pass(time.Now())
+		f.relayHeaders(x, a)
+		x.recordRelay(time.Now())
 
 		if _, err := x.writer.Write(e); err != nil {
 			return result{err: errors.Mark(err, errCallerLeft), outcome: selector.Inconclusive}
@@ -71,29 +71,29 @@
 		x.lastEvent = id
 
 		if !s.Ready() {
-			_ = http.NewResponseController(x.writer).Flush() // A caller that left shows at the next write.
+			_ = http.NewResponseController(x.writer).Flush() // The next write fails if the caller disconnected.
 		}
 
-		g.set(f.pause(x))
+		g.set(f.eventTimeout(x))
 	}
 }
 
-// failure is the result of an answer that is no stream.
-func (f *Forwarder) failure(a *http.Response) result {
-	b, err := io.ReadAll(io.LimitReader(a.Body, maxAnswer))
+// readFailure returns the result of an answer that is not a stream.
+func (f *Forwarder) readFailure(a *http.Response) result {
+	b, err := io.ReadAll(io.LimitReader(a.Body, maxAnswerBytes))
 	if err != nil || a.StatusCode < http.StatusMultipleChoices {
-		return result{err: errors.Mark(errors.Newf("status %d without a proof or an end", a.StatusCode), errBroken), outcome: selector.Failed}
+		return result{err: errors.Mark(errors.Newf("answer with status %d has no seal or is incomplete", a.StatusCode), errBroken), outcome: selector.Failed}
 	}
 
 	return result{
 		err:     errors.Newf("the target answered with status %d", a.StatusCode),
-		answer:  &whole{status: a.StatusCode, header: a.Header, body: b},
+		answer:  &bufferedAnswer{status: a.StatusCode, header: a.Header, body: b},
 		outcome: selector.Failed,
 	}
 }
 
-// begin passes on the headers of the first answer, once.
-func (f *Forwarder) begin(x *exchange, a *http.Response) {
+// relayHeaders sends the headers of the first answer to the caller, once.
+func (f *Forwarder) relayHeaders(x *exchange, a *http.Response) {
 	if x.relayed {
 		return
 	}
@@ -103,16 +103,16 @@
 	x.writer.WriteHeader(a.StatusCode)
 }
 
-// finish ends an answer that came whole.
-func (f *Forwarder) finish(x *exchange, a *http.Response) result {
-	f.begin(x, a)
+// completeStream ends a stream that was received to its end.
+func (f *Forwarder) completeStream(x *exchange, a *http.Response) result {
+	f.relayHeaders(x, a)
 
 	return result{}
 }
 
-// pause is how long the next event may take before a stream goes on elsewhere;
-// zero when it can't.
-func (f *Forwarder) pause(x *exchange) time.Duration {
+// eventTimeout returns how long to wait for the next event before the stream is resumed at another
+// target; zero means no time-out, as it can't be resumed.
+func (f *Forwarder) eventTimeout(x *exchange) time.Duration {
 	if !x.rule.Resumable || x.sent+1 >= x.rule.Attempts {
 		return 0
 	}
@@ -120,10 +120,9 @@
 	return pauseFactor * x.rule.Pause
 }
 
-// follows says that an event may come after another. A target that goes on with a
-// stream may begin too early or too late; passing that on would double or lose a
-// part of the answer.
-func follows(last, id string) bool {
+// isNextEvent reports whether an event may follow another. A target that resumes a stream may start
+// too early or too late; relaying that would duplicate or lose a part of the answer.
+func isNextEvent(last, id string) bool {
 	a, err := strconv.ParseUint(last, 10, 64)
 	if err != nil {
 		return true
@@ -134,29 +133,29 @@
 	return err != nil || b == a+1
 }
 
-// guard calls a function when the next step of an attempt takes too long.
-type guard struct {
-	leave func()
-	timer *time.Timer
+// stepTimer calls a function when the next step of an attempt takes too long.
+type stepTimer struct {
+	expired func()
+	timer   *time.Timer
 }
 
-func newGuard(leave func()) *guard {
-	return &guard{leave: leave}
+func newStepTimer(expired func()) *stepTimer {
+	return &stepTimer{expired: expired}
 }
 
-// set bounds the next step; zero does not bound it.
-func (g *guard) set(d time.Duration) {
+// set bounds the next step; zero removes the bound.
+func (g *stepTimer) set(d time.Duration) {
 	switch {
 	case d <= 0:
-		g.end()
+		g.stop()
 	case g.timer == nil:
-		g.timer = time.AfterFunc(d, g.leave)
+		g.timer = time.AfterFunc(d, g.expired)
 	default:
 		g.timer.Reset(d)
 	}
 }
 
-func (g *guard) end() {
+func (g *stepTimer) stop() {
 	if g.timer != nil {
 		g.timer.Stop()
 	}
--- a/internal/forwarder/stream_test.go
+++ b/internal/forwarder/stream_test.go
@@ -11,22 +11,22 @@
 	"github.com/matryer/is"
 )
 
-// from returns a target's answer: the events from the one after the last that the
-// caller has, up to a number.
-func from(last int) func(n net.Conn, s seen) {
-	return func(n net.Conn, s seen) {
+// from returns an answer function that sends the events after the last one the caller has, up to
+// the given number.
+func from(last int) func(n net.Conn, s received) {
+	return func(n net.Conn, s received) {
 		b := 0
 		if v := s.header.Get("Last"); v != "" {
 			b = int(v[0] - '0')
 		}
 
-		begin(n, s)
+		beginStream(n, s)
 
 		for i := b + 1; i <= last; i++ {
 			chunk(n, event(i))
 		}
 
-		finish(n)
+		finishStream(n)
 	}
 }
 
@@ -40,9 +40,9 @@
 }
 
 func TestStream(t *testing.T) {
-	broken := func(end func(n net.Conn)) func(n net.Conn, s seen) {
-		return func(n net.Conn, s seen) {
-			begin(n, s)
+	broken := func(end func(n net.Conn)) func(n net.Conn, s received) {
+		return func(n net.Conn, s received) {
+			beginStream(n, s)
 			chunk(n, event(1))
 			chunk(n, event(2)[:5])
 			time.Sleep(20 * time.Millisecond)
@@ -51,77 +51,78 @@
 	}
 
 	for name, x := range map[string]struct {
-		path    string
-		first   func(n net.Conn, s seen)
-		headers []string
-		body    string
-		whole   bool
-		calls   int
+		path     string
+		first    func(n net.Conn, s received)
+		headers  []string
+		body     string
+		complete bool
+		calls    int
 	}{
-		"whole":                      {path: "/stream/", first: from(3), body: events(1, 3), whole: true, calls: 1},
-		"caller goes on":             {path: "/resumable/", first: from(5), headers: []string{"Last", "3"}, body: events(4, 5), whole: true, calls: 1},
-		"broken in an event":         {path: "/resumable/", first: broken(reset), body: events(1, 5), whole: true, calls: 2},
-		"closed in an event":         {path: "/resumable/", first: broken(func(n net.Conn) { _ = n.Close() }), body: events(1, 5), whole: true, calls: 2},
-		"falls silent":               {path: "/resumable/", first: broken(func(net.Conn) { time.Sleep(700 * time.Millisecond) }), body: events(1, 5), whole: true, calls: 2},
-		"never begins":               {path: "/resumable/", first: func(_ net.Conn, s seen) { <-s.gone }, body: events(1, 5), whole: true, calls: 2},
-		"turned away":                {path: "/stream/", first: func(n net.Conn, s seen) { reply(n, s, "503 Full", "", "Not-Run: 1") }, body: events(1, 5), whole: true, calls: 2},
-		"not resumable":              {path: "/stream/", first: broken(reset), body: events(1, 1), whole: false, calls: 1},
-		"broken behind an event":     {path: "/stream/", first: func(n net.Conn, s seen) { begin(n, s); chunk(n, event(1)+event(3)); finish(n) }, body: events(1, 1), whole: false, calls: 1},
-		"an event is missing":        {path: "/resumable/", first: func(n net.Conn, s seen) { begin(n, s); chunk(n, event(1)+event(3)); finish(n) }, body: events(1, 5), whole: true, calls: 2},
-		"an event comes twice":       {path: "/resumable/", first: func(n net.Conn, s seen) { begin(n, s); chunk(n, event(1)+event(1)); finish(n) }, body: events(1, 5), whole: true, calls: 2},
-		"ends without an empty line": {path: "/resumable/", first: func(n net.Conn, s seen) { begin(n, s); chunk(n, event(1)+"id: 2\n"); finish(n) }, body: events(1, 5), whole: true, calls: 2},
+		"complete":                     {path: "/stream/", first: from(3), body: events(1, 3), complete: true, calls: 1},
+		"caller resumes":               {path: "/resumable/", first: from(5), headers: []string{"Last", "3"}, body: events(4, 5), complete: true, calls: 1},
+		"reset within an event":        {path: "/resumable/", first: broken(reset), body: events(1, 5), complete: true, calls: 2},
+		"closed within an event":       {path: "/resumable/", first: broken(func(n net.Conn) { _ = n.Close() }), body: events(1, 5), complete: true, calls: 2},
+		"stops sending":                {path: "/resumable/", first: broken(func(net.Conn) { time.Sleep(700 * time.Millisecond) }), body: events(1, 5), complete: true, calls: 2},
+		"never answers":                {path: "/resumable/", first: func(_ net.Conn, s received) { <-s.closed }, body: events(1, 5), complete: true, calls: 2},
+		"refused":                      {path: "/stream/", first: func(n net.Conn, s received) { reply(n, s, "503 Full", "", "Not-Run: 1") }, body: events(1, 5), complete: true, calls: 2},
+		"not resumable":                {path: "/stream/", first: broken(reset), body: events(1, 1), complete: false, calls: 1},
+		"missing event, not resumable": {path: "/stream/", first: func(n net.Conn, s received) { beginStream(n, s); chunk(n, event(1)+event(3)); finishStream(n) }, body: events(1, 1), complete: false, calls: 1},
+		"missing event":                {path: "/resumable/", first: func(n net.Conn, s received) { beginStream(n, s); chunk(n, event(1)+event(3)); finishStream(n) }, body: events(1, 5), complete: true, calls: 2},
+		"duplicate event":              {path: "/resumable/", first: func(n net.Conn, s received) { beginStream(n, s); chunk(n, event(1)+event(1)); finishStream(n) }, body: events(1, 5), complete: true, calls: 2},
+		"ends without an empty line":   {path: "/resumable/", first: func(n net.Conn, s received) { beginStream(n, s); chunk(n, event(1)+"id: 2\n"); finishStream(n) }, body: events(1, 5), complete: true, calls: 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			a, b := &target{answer: x.first}, &target{answer: from(5)}
-			g := front(t, a, b)
+			g := newGateway(t, a, b)
 
 			o := g.call(t, http.MethodPost, x.path, "prompt", x.headers...)
 			is.Equal(o.body, x.body)
-			is.Equal(o.err == nil, x.whole)
+			is.Equal(o.err == nil, x.complete)
 			is.Equal(a.count()+b.count(), x.calls)
 
 			if x.calls == 2 && b.calls[0].header.Get("Last") != "" {
-				is.Equal(o.header.Get("Seal"), "t0") // The headers of the first stand.
+				is.Equal(o.header.Get("Seal"), "t0") // The headers of the first answer were relayed.
 			}
 		})
 	}
 }
 
-// A user would see a word doubled or missing in an answer that was put together
-// from two targets: the second one begins again instead of going on.
-func TestSecondTargetThatBeginsAgainIsNotJoined(t *testing.T) {
+// Guards against a duplicated or missing part in an answer joined from two targets: the second one
+// restarts the stream instead of resuming it.
+func TestRestartedStreamIsNotJoined(t *testing.T) {
 	is := is.New(t)
-	a := &target{answer: func(n net.Conn, s seen) {
-		begin(n, s)
+	a := &target{answer: func(n net.Conn, s received) {
+		beginStream(n, s)
 		chunk(n, events(1, 2))
 		time.Sleep(20 * time.Millisecond)
 		reset(n)
 	}}
-	b := &target{answer: func(n net.Conn, s seen) {
-		begin(n, s)
+	b := &target{answer: func(n net.Conn, s received) {
+		beginStream(n, s)
 		chunk(n, events(1, 5))
-		finish(n)
+		finishStream(n)
 	}}
-	g := front(t, a, b)
+	g := newGateway(t, a, b)
 
 	o := g.call(t, http.MethodPost, "/resumable/", "prompt")
 	is.Equal(o.body, events(1, 2))
 	is.True(o.err != nil)
 }
 
-// Events go on as they come, also to a caller that reads while the target works.
-func TestEventsAreNotHeldBack(t *testing.T) {
+// Guards against events that are buffered instead of being relayed while the target is still
+// working.
+func TestEventsAreRelayedImmediately(t *testing.T) {
 	is := is.New(t)
 	next := make(chan struct{})
-	a := &target{answer: func(n net.Conn, s seen) {
-		begin(n, s)
+	a := &target{answer: func(n net.Conn, s received) {
+		beginStream(n, s)
 		chunk(n, event(1))
 		<-next
 		chunk(n, event(2))
-		finish(n)
+		finishStream(n)
 	}}
-	g := front(t, a)
+	g := newGateway(t, a)
 
 	q, err := http.NewRequestWithContext(t.Context(), http.MethodPost, g.URL+"/stream/", strings.NewReader("x"))
 	is.NoErr(err)
--- a/internal/gatekeeper/construct.go
+++ b/internal/gatekeeper/construct.go
@@ -96,13 +96,13 @@
 	l fx.Lifecycle, s Settings, w World, f *facts, t trace.Tracer, m *meter.Meter, j *joiner.Joiner, h *reserver.Reserver, q *warner.Warner,
 ) *forwarder.Forwarder {
 	x, stop := forwarder.New(
-		forwarder.Settings{DataCentre: s.DataCentre, Patience: patience, MaxBody: maxBody, Regions: s.Regions},
+		forwarder.Settings{DataCentre: s.DataCentre, DefaultTimeout: patience, MaxBody: maxBody, Regions: s.Regions},
 		w.Dialect, f, t, m, &net.Dialer{}, newChooser(s, j), budgeter.New(s.Retries, time.Now()))
-	x.UseHomes(h)
-	x.UseQuarantine(q)
-	q.OnEnds(x.LearnEnds)
+	x.SetReserver(h)
+	x.SetQuarantine(q)
+	q.OnEnds(x.RecordCrashes)
 	f.dropped = func(r *enroller.Roster) {
-		x.Forget(r)
+		x.Prune(r)
 		h.Forget(r)
 	}
 
--- a/internal/gatekeeper/evacuation_sink_test.go
+++ b/internal/gatekeeper/evacuation_sink_test.go
@@ -56,7 +56,7 @@
 // open returns the data centres whose targets take calls.
 func open(f *facts) string {
 	var o []string
-	for _, t := range f.Roster().Groups["g"] {
+	for _, t := range f.Registry().Groups["g"] {
 		o = append(o, t.DataCentre)
 	}
 
@@ -144,7 +144,7 @@
 				}
 
 				i.Equal(open(f), x.open)
-				i.Equal(len(f.Roster().Known), 4) // Prompts are fetched from all of them.
+				i.Equal(len(f.Registry().Known), 4) // Prompts are fetched from all of them.
 			}
 		})
 	}
@@ -167,7 +167,7 @@
 	i.NoErr(err)
 	f.enforce(c, watcher.Record{})
 	i.Equal(open(f), "b")
-	i.Equal(len(f.Roster().Closed["g"]), 2)
+	i.Equal(len(f.Registry().Closed["g"]), 2)
 }
 
 // running are calls by data centre.
--- a/internal/gatekeeper/facts.go
+++ b/internal/gatekeeper/facts.go
@@ -45,7 +45,7 @@
 	learn sync.Once
 }
 
-var _ forwarder.Facts = (*facts)(nil)
+var _ forwarder.ClusterState = (*facts)(nil)
 
 func newFacts() *facts {
 	f := &facts{
@@ -60,11 +60,11 @@
 // Catalog is part of forwarder.Facts.
 func (f *facts) Catalog() *cataloger.Catalog { return f.catalog.Load() }
 
-// Known is part of forwarder.Facts.
-func (f *facts) Known() <-chan struct{} { return f.known }
+// Synced is part of forwarder.Facts.
+func (f *facts) Synced() <-chan struct{} { return f.known }
 
-// Roster is part of forwarder.Facts.
-func (f *facts) Roster() *enroller.Roster { return f.roster.Load() }
+// Registry is part of forwarder.Facts.
+func (f *facts) Registry() *enroller.Roster { return f.roster.Load() }
 
 // version returns the version of the catalog in force; zero means none.
 func (f *facts) version() uint64 {
@@ -140,8 +140,8 @@
 	f.publish()
 }
 
-// Leave is part of forwarder.Facts.
-func (f *facts) Leave(p enroller.Process) bool {
+// MarkLeaving is part of forwarder.Facts.
+func (f *facts) MarkLeaving(p enroller.Process) bool {
 	var o bool
 
 	f.update(func(n time.Time, e *enroller.Enroller) { o = e.Leave(n, p) })
--- a/internal/gatekeeper/facts_test.go
+++ b/internal/gatekeeper/facts_test.go
@@ -44,7 +44,7 @@
 				i.NoErr(s.Reset([]watcher.Record{{Key: "t", Value: []byte("g")}}, 1))
 			}
 
-			i.Equal(isClosed(f.Known()), x.want)
+			i.Equal(isClosed(f.Synced()), x.want)
 		})
 	}
 }
@@ -60,17 +60,17 @@
 	s, _ := sinkOf(f)
 	i.NoErr(s.Reset(nil, 0))
 
-	b := f.Roster()
+	b := f.Registry()
 
 	for n := range 100 {
 		s.Change(watcher.Record{Key: strconv.Itoa(n), Value: []byte("g"), Offset: int64(n)})
 	}
 
 	s.Change(watcher.Record{Key: "7", Offset: 100})
-	i.Equal(f.Roster(), b)
+	i.Equal(f.Registry(), b)
 
 	s.Read(0)
-	i.Equal(len(f.Roster().Known), 99)
+	i.Equal(len(f.Registry().Known), 99)
 }
 
 // An instance shows ready and refuses each call, or does not notice that it is cut off:
@@ -98,24 +98,24 @@
 	}
 
 	enforce(1, "g")
-	i.Equal(len(f.Roster().Known), 1)
-	i.Equal(len(f.Roster().Groups), 1)
-	i.Equal(len(f.Roster().Groups["g"]), 1)
-	i.Equal(f.Roster(), last)
+	i.Equal(len(f.Registry().Known), 1)
+	i.Equal(len(f.Registry().Groups), 1)
+	i.Equal(len(f.Registry().Groups["g"]), 1)
+	i.Equal(f.Registry(), last)
 	i.Equal(len(last.Names), 1)
 	i.Equal(len(last.Processes), 1)
 
 	s.Change(watcher.Record{Key: "v", Value: []byte("other"), Offset: 2})
 	s.Read(0)
-	i.Equal(len(f.Roster().Known), 1)
+	i.Equal(len(f.Registry().Known), 1)
 
 	enforce(2, "g", "other")
-	i.Equal(len(f.Roster().Known), 3)
-	i.Equal(len(f.Roster().Groups["other"]), 2)
+	i.Equal(len(f.Registry().Known), 3)
+	i.Equal(len(f.Registry().Groups["other"]), 2)
 
 	enforce(3, "other")
-	i.Equal(len(f.Roster().Groups["g"]), 0)
-	i.Equal(len(f.Roster().Known), 2)
+	i.Equal(len(f.Registry().Groups["g"]), 0)
+	i.Equal(len(f.Registry().Known), 2)
 }
 
 func isClosed(c <-chan struct{}) bool {
--- a/internal/gatekeeper/gatekeeper.go
+++ b/internal/gatekeeper/gatekeeper.go
@@ -49,7 +49,7 @@
 func (g *Gatekeeper) Tune(t Tunables) {
 	g.stop.Store(int64(t.Stop))
 	g.joiner.SetSeeds(t.Seeds)
-	g.forwarder.SetRetries(t.Retries)
+	g.forwarder.SetRetryBudget(t.Retries)
 	g.forwarder.SetThrottle(t.Cold)
 	logrus.WithFields(logrus.Fields{
 		"event": "tuned", "seeds": len(t.Seeds), "stop": t.Stop,
--- a/internal/gatekeeper/gatekeeper_test.go
+++ b/internal/gatekeeper/gatekeeper_test.go
@@ -81,7 +81,7 @@
 // dialect is a way of speaking for the tests.
 type dialect struct{}
 
-func (dialect) Read(h http.Header) (forwarder.Call, error) {
+func (dialect) ReadCall(h http.Header) (forwarder.Call, error) {
 	if h.Get("Panic") != "" {
 		panic("a fault of the program")
 	}
@@ -89,9 +89,9 @@
 	return forwarder.Call{ID: h.Get("Id"), Key: h.Get("Key")}, nil
 }
 
-func (dialect) Write(http.Header, forwarder.Orders) {}
+func (dialect) WriteAttempt(http.Header, forwarder.AttemptInfo) {}
 
-func (dialect) Answer(h http.Header, _ int) forwarder.Reply {
+func (dialect) ReadReply(h http.Header, _ int) forwarder.Reply {
 	return forwarder.Reply{ID: h.Get("Id"), Sealed: true}
 }
 
--- a/internal/gatekeeper/metrics.go
+++ b/internal/gatekeeper/metrics.go
@@ -10,7 +10,7 @@
 func (g *Gatekeeper) follow(m *meter.Meter) {
 	m.Follow("catalog_version", func() float64 { return float64(g.facts.version()) })
 	m.Follow("catalog_age_seconds", func() float64 { return time.Since(g.facts.heard()).Seconds() })
-	m.Follow("targets", func() float64 { return float64(len(g.facts.Roster().Known)) })
+	m.Follow("targets", func() float64 { return float64(len(g.facts.Registry().Known)) })
 	m.Follow("data_centres_evacuated", func() float64 { return float64(len(g.facts.evacuations().Begun)) })
 	m.Follow("calls_running_evacuated", func() float64 {
 		n := 0
--- a/internal/gatekeeper/run.go
+++ b/internal/gatekeeper/run.go
@@ -34,7 +34,7 @@
 
 	g.background(func() { every(x, settleEvery, g.facts.settle) })
 	g.background(func() { every(x, settleEvery, g.evacuations.look) })
-	g.background(func() { every(x, lookEvery, func() { g.forwarder.Look(x) }) })
+	g.background(func() { every(x, lookEvery, func() { g.forwarder.CheckConnectivity(x) }) })
 	g.background(func() { every(x, detector.TickEvery, g.facts.tick) })
 	g.background(func() { every(x, sweepEvery, func() { g.idler.Sweep() }) })
 	g.messenger.Serve()
--- a/internal/gatekeeper/servers.go
+++ b/internal/gatekeeper/servers.go
@@ -66,7 +66,7 @@
 
 	if p, ok := g.drainer.Enter(time.Now()); !ok {
 		w.Header().Set("Connection", "close")
-		g.forwarder.Turn(w, r, p >= drainer.Refusing)
+		g.forwarder.Reject(w, r, p >= drainer.Refusing)
 
 		return
 	}
@@ -80,7 +80,7 @@
 // are known, no stop has begun, and the instance is not on the small side of a cut, where
 // callers are refused what others can serve.
 func (g *Gatekeeper) answerReady(c *gin.Context) {
-	r := g.facts.Roster()
+	r := g.facts.Registry()
 	// With everything evacuated callers are told when to come back, which nobody else could.
 	if g.facts.Catalog() == nil || len(r.Groups)+len(r.Closed) == 0 || !g.drainer.Ready() || g.forwarder.CutOff() {
 		c.Status(http.StatusServiceUnavailable)
--- a/internal/gatekeeper/target_sink_test.go
+++ b/internal/gatekeeper/target_sink_test.go
@@ -61,7 +61,7 @@
 	return f, s, c
 }
 
-func keys(f *facts) []string { return slices.Sorted(maps.Keys(f.Roster().Known)) }
+func keys(f *facts) []string { return slices.Sorted(maps.Keys(f.Registry().Known)) }
 
 // A user would see calls fail at a target that is none: another writer has written over its
 // entry, and the entry before it stayed in force, or was held as if the list had been away.
@@ -239,7 +239,7 @@
 			i.Equal(s.Reset(x.list, x.end) != nil, x.old)
 			s.Read(0)
 			i.Equal(keys(f), x.want)
-			i.Equal(len(f.Roster().Groups["g"]), len(x.want))
+			i.Equal(len(f.Registry().Groups["g"]), len(x.want))
 		})
 	}
 }
--- a/internal/informer/informer.go
+++ b/internal/informer/informer.go
@@ -38,12 +38,12 @@
 
 // Knowledge is what this instance knows of targets.
 type Knowledge interface {
-	News() selector.Update
-	Learn(n selector.Update)
+	Update() selector.Update
+	ApplyUpdate(n selector.Update)
 	// ReportGone takes that processes are gone.
-	LearnGone(l []enroller.Process)
-	// LearnLeaving takes that processes said that they leave.
-	LearnLeaving(l []enroller.Process)
+	MarkGone(l []enroller.Process)
+	// MarkLeaving takes that processes said that they leave.
+	MarkLeaving(l []enroller.Process)
 }
 
 // Informer tells and is told. It is safe for concurrent use.
@@ -94,7 +94,7 @@
 		})
 	}
 
-	i.knowledge.Learn(n)
+	i.knowledge.ApplyUpdate(n)
 
 	return nil, nil //nolint:nilnil // News has no reply.
 }
@@ -123,7 +123,7 @@
 func (i *Informer) ToldGone(_ context.Context, _ uint64, body []byte) (msgp.Marshaler, error) {
 	l, err := processes(body)
 	if err == nil {
-		i.knowledge.LearnGone(l)
+		i.knowledge.MarkGone(l)
 	}
 
 	return nil, err
@@ -133,7 +133,7 @@
 func (i *Informer) ToldLeaving(_ context.Context, _ uint64, body []byte) (msgp.Marshaler, error) {
 	l, err := processes(body)
 	if err == nil {
-		i.knowledge.LearnLeaving(l)
+		i.knowledge.MarkLeaving(l)
 	}
 
 	return nil, err
@@ -174,7 +174,7 @@
 // tell sends what is new to all others. What does not arrive is told again
 // when it is used later.
 func (i *Informer) tell(c context.Context) {
-	n := i.knowledge.News()
+	n := i.knowledge.Update()
 	if len(n.Placements) == 0 && len(n.Loads) == 0 {
 		return
 	}
--- a/internal/informer/informer_test.go
+++ b/internal/informer/informer_test.go
@@ -35,7 +35,7 @@
 	leave  []enroller.Process
 }
 
-func (k *knowledge) News() selector.Update {
+func (k *knowledge) Update() selector.Update {
 	n := k.news
 	if !k.always {
 		k.news = selector.Update{}
@@ -44,7 +44,7 @@
 	return n
 }
 
-func (k *knowledge) Learn(n selector.Update) {
+func (k *knowledge) ApplyUpdate(n selector.Update) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 
@@ -52,9 +52,9 @@
 	k.learnt.Loads = append(k.learnt.Loads, n.Loads...)
 }
 
-func (k *knowledge) LearnGone(l []enroller.Process) { k.gone = append(k.gone, l...) }
+func (k *knowledge) MarkGone(l []enroller.Process) { k.gone = append(k.gone, l...) }
 
-func (k *knowledge) LearnLeaving(l []enroller.Process) { k.leave = append(k.leave, l...) }
+func (k *knowledge) MarkLeaving(l []enroller.Process) { k.leave = append(k.leave, l...) }
 
 // fleet joins instances without a network.
 type fleet struct {
