--- a/internal/admitter/admitter.go
+++ b/internal/admitter/admitter.go
@@ -12,7 +12,7 @@
 	"math"
 	"time"
 
-	"github.com/auburntray/auburntray/internal/sharer"
+	"github.com/auburntray/auburntray/internal/allocator"
 )
 
 const (
@@ -215,7 +215,7 @@
 	w := min(float64(d)/float64(rateWindow), 1)
 	all := 0.0
 
-	var x []sharer.Demand
+	var x []allocator.Demand
 
 	for id, c := range l.customers {
 		c.rate += w * (float64(c.calls)/d.Seconds() - c.rate)
@@ -228,12 +228,12 @@
 		}
 
 		all += c.rate
-		x = append(x, sharer.Demand{Work: c.rate, Weight: 1})
+		x = append(x, allocator.Demand{Work: c.rate, Weight: 1})
 	}
 
 	most := math.Inf(1)
 	if l.share < 1 {
-		most = sharer.Level(x, l.share*all)
+		most = allocator.Level(x, l.share*all)
 	}
 
 	for _, c := range l.customers {
--- a/internal/bencher/bencher.go
+++ b/internal/bencher/bencher.go
@@ -145,7 +145,7 @@
 
 	if h != nil {
 		for _, g := range h.granters {
-			r.Bytes += g.Places().Bytes() / len(w.routers)
+			r.Bytes += g.Placements().Bytes() / len(w.routers)
 		}
 	}
 
--- a/internal/bencher/exchange.go
+++ b/internal/bencher/exchange.go
@@ -91,8 +91,8 @@
 		}
 
 		m := wire.HandOver{Cell: c.ID}
-		for _, p := range h.granter(c, w.routers[i].id).Changed(128, 16) { //nolint:mnd // As the routers do.
-			h.granter(c, w.routers[j].id).Remember(epoch.Add(w.now), p.Chat, p.Place)
+		for _, p := range h.granter(c, w.routers[i].id).ChangedPlacements(128, 16) { //nolint:mnd // As the routers do.
+			h.granter(c, w.routers[j].id).RecordPlacement(epoch.Add(w.now), p.Chat, p.Place)
 			m.Places = append(m.Places, wire.Place{Chat: p.Chat, Target: p.Target, Tokens: uint32(p.Tokens)}) //nolint:gosec // Not negative.
 		}
 
@@ -117,9 +117,9 @@
 		i := h.home(w, &router{centre: h.byID[x.cell.Targets[0].ID].centre}, x.cell)
 		g := h.granter(x.cell, w.routers[i].id)
 
-		p, next := x.from.Places().Scan(x.at, 2048) //nolint:mnd // As the routers do.
+		p, next := x.from.Placements().Scan(x.at, 2048) //nolint:mnd // As the routers do.
 		for _, c := range p {
-			g.Remember(epoch.Add(w.now), c.Chat, c.Place)
+			g.RecordPlacement(epoch.Add(w.now), c.Chat, c.Place)
 		}
 
 		if x.at = next; next > 0 {
@@ -142,8 +142,8 @@
 func (h *homes) tellOne(w *world, from, to *matcher.Cell) {
 	i := h.home(w, &router{centre: h.byID[from.Targets[0].ID].centre}, from)
 	j := h.home(w, w.routers[i], to)
-	l, x := h.granter(from, w.routers[i].id).Total(epoch.Add(w.now))
+	l, x := h.granter(from, w.routers[i].id).CellLoad(epoch.Add(w.now))
 
-	h.granter(to, w.routers[j].id).Other(epoch.Add(w.now), from.ID, l, x)
+	h.granter(to, w.routers[j].id).ReportCell(epoch.Add(w.now), from.ID, l, x)
 	h.send(w, i, j, wire.KindCellLoad, 0, &wire.CellLoad{From: from.ID, To: to.ID, Milli: uint64(l * skewUnit), Weight: uint32(x)})
 }
--- a/internal/bencher/homes.go
+++ b/internal/bencher/homes.go
@@ -139,9 +139,9 @@
 		Seq: h.seq, Cell: c.ID, Rule: h.rules[q.chat.customer.model].ID, Customer: q.chat.customer.id,
 		Chat: q.chat.key, Prompt: uint32(q.prompt), Hint: hint, WaitedMs: uint32(q.waited.Milliseconds()), Sent: sent, //nolint:gosec // Not negative.
 	}
-	v := h.granter(c, w.routers[i].id).Ask(epoch.Add(w.now), granter.Ask{
+	v := h.granter(c, w.routers[i].id).Reserve(epoch.Add(w.now), granter.Request{
 		ID: granter.ID{Entry: r.id, Seq: a.Seq}, Chat: a.Chat, Customer: a.Customer, Weight: 1,
-		Prompt: q.prompt, Hint: hint, Waited: q.waited, Sent: sent,
+		Prompt: q.prompt, Hint: hint, Waited: q.waited, Forwarded: sent,
 		Allowed: func(id uint32) bool { return w.reachable(r, h.byID[id]) },
 	})
 
@@ -153,7 +153,7 @@
 	q.seq, q.entry, q.cell = a.Seq, r.id, c.ID
 	h.used[usage{c.ID, q.router}] = true
 
-	if v.Tell {
+	if v.ReportDue {
 		t := h.byID[v.Target]
 		h.granter(c, w.routers[i].id).Report(epoch.Add(w.now), v.Target, t.report(), tracker.State{})
 		h.send(w, q.router, i, wire.KindReport, 0, &wire.Report{Cell: c.ID, Target: v.Target, Requests: int32(t.report())}) //nolint:gosec // Small.
@@ -163,7 +163,7 @@
 }
 
 func flags(v granter.Verdict) uint8 {
-	if v.Tell {
+	if v.ReportDue {
 		return wire.FlagTell
 	}
 
--- a/internal/ejector/ejector.go
+++ b/internal/ejector/ejector.go
@@ -1,57 +1,58 @@
-// Package ejector takes failing targets out of service and lets them back in.
+// Package ejector excludes failing targets and readmits them after a successful probe call (outlier
+// ejection).
 package ejector
 
 import "time"
 
-// Settings bounds the ejector.
+// Settings are the parameters of an Ejector.
 type Settings struct {
-	// Failures in a row that eject a target.
+	// Failures is the number of consecutive failures after which a target is ejected.
 	Failures int
-	// Base is how long the first ejection lasts; each further one doubles it.
+	// Base is the duration of the first ejection; each further one lasts twice as long.
 	Base time.Duration
-	// Max is the longest ejection.
+	// Max is the longest duration of an ejection.
 	Max time.Duration
-	// PanicPart is the part of the targets that may be out. When more fail, the
-	// fault is more likely here than there, and all are used again.
-	PanicPart float64
+	// PanicThreshold is the fraction of the targets that may be excluded. If more of them fail, the fault is
+	// more likely at this instance than at the targets, and all of them are used again.
+	PanicThreshold float64
 }
 
 // DefaultSettings returns the settings that routers use.
 func DefaultSettings() Settings {
-	return Settings{Failures: 3, Base: time.Second, Max: 30 * time.Second, PanicPart: 0.5}
+	return Settings{Failures: 3, Base: time.Second, Max: 30 * time.Second, PanicThreshold: 0.5}
 }
 
 type state struct {
-	failures int
-	times    int
-	until    time.Time
-	// probing is until when one request is out as a half-open probe.
-	probing time.Time
+	// failures is the number of consecutive failures, and ejections determines the next duration.
+	failures     int
+	ejections    int
+	ejectedUntil time.Time
+	// probeUntil is the time until which the target is excluded because a probe call is in progress.
+	probeUntil time.Time
 }
 
-// probeTimeout is how long a probe without a result keeps others away.
+// probeTimeout is how long a probe call without a result excludes the target for other requests.
 const probeTimeout = 10 * time.Second
 
-// Ejector follows the outcomes of targets, which have keys of the type K. It is not safe
-// for concurrent use.
+// Ejector tracks the failures of targets, which have keys of type K. It is not safe for concurrent use.
 type Ejector[K comparable] struct {
 	settings Settings
 	states   map[K]*state
 }
 
-// New returns an Ejector in which every target is in service.
+// New returns an Ejector that excludes no target.
 func New[K comparable](s Settings) *Ejector[K] {
 	return &Ejector[K]{settings: s, states: make(map[K]*state)}
 }
 
-// Result takes the outcome of a request to a target.
-func (e *Ejector[K]) Result(now time.Time, target K, ok bool) {
+// RecordResult records the result of a request to a target.
+func (e *Ejector[K]) RecordResult(now time.Time, target K, ok bool) {
 	s, found := e.states[target]
 	if ok {
-		// A target that flaps would be back at full length with every success;
-		// its number of ejections falls one at a time instead.
+		// A success reduces the number of ejections by one only. If it reset the number, each
+		// ejection of a flapping target would be as short as the first.
 		if found {
-			e.succeed(target, s)
+			e.recordSuccess(target, s)
 		}
 
 		return
@@ -63,73 +64,74 @@
 	}
 
 	s.failures++
-	p := !s.probing.IsZero()
-	s.probing = time.Time{}
+	p := !s.probeUntil.IsZero()
+	s.probeUntil = time.Time{}
 
 	if s.failures < e.settings.Failures && !p {
 		return
 	}
 
-	d := min(e.settings.Base<<min(s.times, 16), e.settings.Max)
-	s.until = now.Add(d)
-	s.times++
+	d := min(e.settings.Base<<min(s.ejections, 16), e.settings.Max)
+	s.ejectedUntil = now.Add(d)
+	s.ejections++
 	s.failures = 0
 }
 
-func (e *Ejector[K]) succeed(target K, s *state) {
+func (e *Ejector[K]) recordSuccess(target K, s *state) {
 	s.failures = 0
-	s.probing = time.Time{}
-	s.until = time.Time{}
-	s.times--
+	s.probeUntil = time.Time{}
+	s.ejectedUntil = time.Time{}
+	s.ejections--
 
-	if s.times <= 0 {
+	if s.ejections <= 0 {
 		delete(e.states, target)
 	}
 }
 
-// Out says that a target is ejected at a time. When its time is over it stays
-// out for all but one request, the probe.
-func (e *Ejector[K]) Out(now time.Time, target K) bool {
+// Excluded reports whether a target is excluded. After an ejection the target is half-open: it accepts one
+// request, the probe call, and is excluded for all others until the result.
+func (e *Ejector[K]) Excluded(now time.Time, target K) bool {
 	s, ok := e.states[target]
-	if !ok || s.until.IsZero() {
+	if !ok || s.ejectedUntil.IsZero() {
 		return false
 	}
 
-	return now.Before(s.until) || now.Before(s.probing)
+	return now.Before(s.ejectedUntil) || now.Before(s.probeUntil)
 }
 
-// Probe notes that a request was sent to a target. When the target is
-// half-open, it keeps others away until the result is in.
-func (e *Ejector[K]) Probe(now time.Time, target K) {
+// StartProbe records that a request is sent to a target. If the target is half-open, the request is the probe
+// call, and the target is excluded until its result or for probeTimeout.
+func (e *Ejector[K]) StartProbe(now time.Time, target K) {
 	s, ok := e.states[target]
-	if ok && !s.until.IsZero() {
-		s.probing = now.Add(probeTimeout)
+	if ok && !s.ejectedUntil.IsZero() {
+		s.probeUntil = now.Add(probeTimeout)
 	}
 }
 
-// Abandon notes that the probe of a half-open target ended without a result.
-func (e *Ejector[K]) Abandon(target K) {
+// CancelProbe records that the probe call of a half-open target ended without a result, and permits another
+// one.
+func (e *Ejector[K]) CancelProbe(target K) {
 	if s, ok := e.states[target]; ok {
-		s.probing = time.Time{}
+		s.probeUntil = time.Time{}
 	}
 }
 
-// Panic says that so many of the targets are out that ejection is to be
-// ignored. A router that is itself cut off sees every target fail; without
-// this it would refuse everything after the cut has healed.
-func (e *Ejector[K]) Panic(now time.Time, targets []K) bool {
+// PanicMode reports whether so many of the targets are excluded that exclusion must be ignored. A router that
+// is partitioned sees all targets fail, and would otherwise keep refusing all requests after the network
+// has recovered.
+func (e *Ejector[K]) PanicMode(now time.Time, targets []K) bool {
 	n := 0
 
 	for _, t := range targets {
-		if e.Out(now, t) {
+		if e.Excluded(now, t) {
 			n++
 		}
 	}
 
-	return float64(n) > e.settings.PanicPart*float64(len(targets))
+	return float64(n) > e.settings.PanicThreshold*float64(len(targets))
 }
 
-// Forget drops what is known of a target.
+// Forget drops the state of a target.
 func (e *Ejector[K]) Forget(target K) {
 	delete(e.states, target)
 }
--- a/internal/ejector/ejector_test.go
+++ b/internal/ejector/ejector_test.go
@@ -9,6 +9,7 @@
 	"github.com/auburntray/auburntray/internal/ejector"
 )
 
+// Guards against targets that are ejected too early, too briefly, or not readmitted.
 func TestEjector(t *testing.T) {
 	type step struct {
 		after time.Duration
@@ -18,17 +19,17 @@
 	fail3 := []step{{0, false}, {0, false}, {0, false}}
 
 	for name, tc := range map[string]struct {
-		steps []step
-		at    time.Duration
-		out   bool
+		steps    []step
+		at       time.Duration
+		excluded bool
 	}{
-		"two failures are not enough":      {fail3[:2], 0, false},
-		"three in a row eject":             {fail3, 500 * time.Millisecond, true},
-		"a success between starts anew":    {[]step{{0, false}, {0, false}, {0, true}, {0, false}, {0, false}}, 0, false},
-		"half-open after the base":         {fail3, 1100 * time.Millisecond, false},
-		"a good probe brings it back":      {append(fail3[:3:3], step{1100 * time.Millisecond, true}), 0, false},
-		"longer after a second ejection":   {append(fail3[:3:3], step{1100 * time.Millisecond, false}, step{0, false}, step{0, false}), 1500 * time.Millisecond, true},
-		"which ends after twice the base.": {append(fail3[:3:3], step{1100 * time.Millisecond, false}, step{0, false}, step{0, false}), 2100 * time.Millisecond, false},
+		"two failures":                              {fail3[:2], 0, false},
+		"three consecutive failures":                {fail3, 500 * time.Millisecond, true},
+		"success between failures":                  {[]step{{0, false}, {0, false}, {0, true}, {0, false}, {0, false}}, 0, false},
+		"half-open after the base duration":         {fail3, 1100 * time.Millisecond, false},
+		"readmitted by a successful probe":          {append(fail3[:3:3], step{1100 * time.Millisecond, true}), 0, false},
+		"second ejection lasts longer":              {append(fail3[:3:3], step{1100 * time.Millisecond, false}, step{0, false}, step{0, false}), 1500 * time.Millisecond, true},
+		"second ejection ends after twice the base": {append(fail3[:3:3], step{1100 * time.Millisecond, false}, step{0, false}, step{0, false}), 2100 * time.Millisecond, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
@@ -37,35 +38,34 @@
 
 			for _, s := range tc.steps {
 				now = now.Add(s.after)
-				e.Result(now, 1, s.ok)
+				e.RecordResult(now, 1, s.ok)
 			}
 
-			i.Equal(e.Out(now.Add(tc.at), 1), tc.out)
+			i.Equal(e.Excluded(now.Add(tc.at), 1), tc.excluded)
 		})
 	}
 }
 
-// A failing target comes half-open. Let in all at once, its callers would all
-// meet the failure again; one probe goes and the others stay away.
-func TestProbeKeepsOthersAway(t *testing.T) {
+// Guards against a burst of failed calls when a target becomes half-open: only one probe call is sent.
+func TestProbeExcludesOtherRequests(t *testing.T) {
 	i := is.New(t)
 	e := ejector.New[uint32](ejector.DefaultSettings())
 	now := time.Unix(0, 0)
 
 	for range 3 {
-		e.Result(now, 1, false)
+		e.RecordResult(now, 1, false)
 	}
 
 	now = now.Add(2 * time.Second)
-	i.True(!e.Out(now, 1))
-	e.Probe(now, 1)
-	i.True(e.Out(now, 1))
-	e.Result(now, 1, true)
-	i.True(!e.Out(now, 1))
+	i.True(!e.Excluded(now, 1))
+	e.StartProbe(now, 1)
+	i.True(e.Excluded(now, 1))
+	e.RecordResult(now, 1, true)
+	i.True(!e.Excluded(now, 1))
 }
 
-// A router is cut off and every target fails for it. Ejecting them all would go
-// on refusing calls after the cut has healed.
+// Guards against a partitioned router, for which all targets fail, that keeps refusing calls after the
+// network has recovered.
 func TestPanic(t *testing.T) {
 	for name, tc := range map[string]struct {
 		failing int
@@ -80,11 +80,11 @@
 
 			for n := range tc.failing {
 				for range 3 {
-					e.Result(now, uint32(n), false)
+					e.RecordResult(now, uint32(n), false)
 				}
 			}
 
-			i.Equal(e.Panic(now, []uint32{0, 1, 2, 3}), tc.want)
+			i.Equal(e.PanicMode(now, []uint32{0, 1, 2, 3}), tc.want)
 		})
 	}
 }
--- a/internal/forwarder/evacuation_test.go
+++ b/internal/forwarder/evacuation_test.go
@@ -9,9 +9,9 @@
 
 	"github.com/matryer/is"
 
+	"github.com/auburntray/auburntray/internal/aggregator"
 	"github.com/auburntray/auburntray/internal/enroller"
 	"github.com/auburntray/auburntray/internal/reserver"
-	"github.com/auburntray/auburntray/internal/tallier"
 )
 
 // evacuate evacuates the given data centres only; without any it ends all evacuations.
@@ -36,10 +36,10 @@
 // hookReserver grants a slot to each call after running a function.
 type hookReserver func(t *enroller.Target)
 
-func (h hookReserver) Reserve(_ context.Context, t *enroller.Target, _ tallier.Request) (tallier.Verdict, reserver.Release) {
+func (h hookReserver) Reserve(_ context.Context, t *enroller.Target, _ aggregator.Request) (aggregator.Verdict, reserver.Release) {
 	h(t)
 
-	return tallier.Verdict{Outcome: tallier.Granted, Calls: 1}, func(tallier.Sign, float64) {}
+	return aggregator.Verdict{Outcome: aggregator.Granted, Calls: 1}, func(aggregator.Result, float64) {}
 }
 
 func (hookReserver) Report(*enroller.Target, int) {}
--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -18,10 +18,10 @@
 	"github.com/auburntray/auburntray/internal/admitter"
 	"github.com/auburntray/auburntray/internal/budgeter"
 	"github.com/auburntray/auburntray/internal/cataloger"
-	"github.com/auburntray/auburntray/internal/confiner"
 	"github.com/auburntray/auburntray/internal/enroller"
 	"github.com/auburntray/auburntray/internal/meter"
 	"github.com/auburntray/auburntray/internal/selector"
+	"github.com/auburntray/auburntray/internal/sharder"
 	"github.com/auburntray/auburntray/internal/throttler"
 )
 
@@ -76,7 +76,7 @@
 	admitter *admitter.Admitter
 	// sharder decides when the customers of a group are limited to their shards of its targets.
 	// Sharded holds the groups in which they currently are.
-	sharder *confiner.Confiner
+	sharder *sharder.Sharder
 	sharded map[string]bool
 
 	// cutSince is when this instance was found to be cut off; nil while it is not.
@@ -125,7 +125,7 @@
 
 	return &Forwarder{
 		settings: s, dialect: d, state: f, tracer: t, client: k, chooser: c, budgeter: b, admitter: admitter.New(), notifyGone: func(enroller.Process) {}, notifyLeaving: func(enroller.Process) {},
-		sharder: confiner.New(), sharded: make(map[string]bool),
+		sharder: sharder.New(), sharded: make(map[string]bool),
 		meter: m, servedLogs: rate.NewLimiter(servedLogsPerSecond, servedLogsPerSecond),
 		rejectedLogs: rate.NewLimiter(rejectedLogsPerSecond, rejectedLogsPerSecond), stopping: make(chan struct{}),
 	}, func() { k.pool.prune(&enroller.Roster{}) }
--- a/internal/forwarder/quarantine.go
+++ b/internal/forwarder/quarantine.go
@@ -92,7 +92,7 @@
 	v := f.quarantine.Ended(x.digest, t.Key().Name())
 
 	f.mu.Lock()
-	f.sharder.Ended(time.Now(), t)
+	f.sharder.RecordCrash(time.Now(), t)
 	f.mu.Unlock()
 
 	logrus.WithFields(x.logFields()).WithFields(logrus.Fields{
@@ -112,7 +112,7 @@
 
 	for _, e := range l {
 		if t, ok := r.Names[e.Process]; ok {
-			f.sharder.Ended(e.At, t)
+			f.sharder.RecordCrash(e.At, t)
 		}
 	}
 }
@@ -120,7 +120,7 @@
 // updateSharding reports whether the customers of a group are limited to their shards of its
 // targets, and logs changes. Requires f.mu to be held.
 func (f *Forwarder) updateSharding(now time.Time, group string, targets int) bool {
-	o := f.sharder.Confined(now, group, targets)
+	o := f.sharder.Sharded(now, group, targets)
 
 	if o != f.sharded[group] {
 		f.sharded[group] = o
--- a/internal/forwarder/reservation.go
+++ b/internal/forwarder/reservation.go
@@ -4,11 +4,11 @@
 	"context"
 	"time"
 
+	"github.com/auburntray/auburntray/internal/aggregator"
 	"github.com/auburntray/auburntray/internal/enroller"
 	"github.com/auburntray/auburntray/internal/reserver"
 	"github.com/auburntray/auburntray/internal/seeker"
 	"github.com/auburntray/auburntray/internal/selector"
-	"github.com/auburntray/auburntray/internal/tallier"
 )
 
 // maxCountDrift is by how many calls the load that a target reports may exceed its home node's
@@ -19,7 +19,7 @@
 // responsible for it, counts the calls of all instances. It is implemented by reserver.Reserver.
 type SlotReserver interface {
 	// Reserve requests a slot for one call and returns the function that releases it.
-	Reserve(c context.Context, t *enroller.Target, q tallier.Request) (tallier.Verdict, reserver.Release)
+	Reserve(c context.Context, t *enroller.Target, q aggregator.Request) (aggregator.Verdict, reserver.Release)
 	// Report reports the load that a target stated to the target's home node.
 	Report(t *enroller.Target, calls int)
 }
@@ -31,7 +31,7 @@
 
 // reservation is the slot reserved for a call. The zero value is no reservation.
 type reservation struct {
-	verdict tallier.Verdict
+	verdict aggregator.Verdict
 	release reserver.Release
 	// pace is the time until the answer began, as a multiple of the latency objective; zero until
 	// it has begun.
@@ -47,18 +47,18 @@
 }
 
 // signOf returns the sign that reports an outcome to the home node of a target.
-func signOf(o selector.Outcome) tallier.Sign {
+func signOf(o selector.Outcome) aggregator.Result {
 	switch o {
 	case selector.Answered, selector.Shed:
-		return tallier.Well
+		return aggregator.Answered
 	case selector.Failed:
-		return tallier.Failed
+		return aggregator.Failed
 	case selector.Unreachable, selector.Crashed:
-		return tallier.Unreached
+		return aggregator.Unreachable
 	case selector.Gone, selector.Inconclusive:
-		return tallier.Nothing
+		return aggregator.NoResult
 	default:
-		return tallier.Nothing
+		return aggregator.NoResult
 	}
 }
 
@@ -132,12 +132,12 @@
 		return
 	}
 
-	x.reservation.verdict, x.reservation.release = f.reserver.Reserve(c, t.Target, tallier.Request{
-		Most: s.Most(t.Bound), Until: x.deadline, Usual: t.MedianPace, Anyway: s.Anyway(),
+	x.reservation.verdict, x.reservation.release = f.reserver.Reserve(c, t.Target, aggregator.Request{
+		MaxCalls: s.Most(t.Bound), Deadline: x.deadline, MedianLatency: t.MedianPace, AllowExcluded: s.Anyway(),
 	})
 	f.meter.Reserved(x.group, x.reservation.verdict.Outcome.String())
 
-	if p := x.reservation.verdict.Pace; p > 0 {
+	if p := x.reservation.verdict.Latency; p > 0 {
 		f.mu.Lock()
 		f.chooser.ReportPace(t.Target, p)
 		f.mu.Unlock()
@@ -155,13 +155,13 @@
 }
 
 // decline records that the home node of a target reported it as full or excluded.
-func (f *Forwarder) decline(t selector.Choice, v tallier.Verdict) {
+func (f *Forwarder) decline(t selector.Choice, v aggregator.Verdict) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
 	n := time.Now()
 
-	if v.Outcome == tallier.Left {
+	if v.Outcome == aggregator.Excluded {
 		f.chooser.DeclineUnhealthy(n, t)
 	} else {
 		f.chooser.Decline(n, t, v.Calls)
@@ -175,7 +175,7 @@
 	f.chooser.ReportLoad(time.Now(), t, selector.LoadReport{Running: p.Running, Waiting: p.Waiting, Slots: p.Slots})
 	f.mu.Unlock()
 
-	if n := p.Running + p.Waiting; x.reservation.verdict.Outcome == tallier.Granted && n > x.reservation.verdict.Calls+maxCountDrift {
+	if n := p.Running + p.Waiting; x.reservation.verdict.Outcome == aggregator.Granted && n > x.reservation.verdict.Calls+maxCountDrift {
 		f.reserver.Report(t, n)
 	}
 }
--- a/internal/forwarder/reservation_test.go
+++ b/internal/forwarder/reservation_test.go
@@ -9,16 +9,16 @@
 
 	"github.com/matryer/is"
 
+	"github.com/auburntray/auburntray/internal/aggregator"
 	"github.com/auburntray/auburntray/internal/enroller"
 	"github.com/auburntray/auburntray/internal/reserver"
-	"github.com/auburntray/auburntray/internal/tallier"
 )
 
 // fakeReserver stands for the home nodes of all targets.
 type fakeReserver struct {
 	mu sync.Mutex
 	// verdicts are the home nodes' verdicts, by target ID.
-	verdicts map[string]tallier.Verdict
+	verdicts map[string]aggregator.Verdict
 	// grantsFrom is the bound on a target's calls from which its home node grants a slot although
 	// the target is full; zero means never.
 	grantsFrom int
@@ -27,34 +27,34 @@
 	// than once.
 	open, releasedAgain int
 	// signs are the outcomes that the calls reported.
-	signs   []tallier.Sign
+	signs   []aggregator.Result
 	reports map[string]int
 }
 
-func (h *fakeReserver) Reserve(_ context.Context, t *enroller.Target, q tallier.Request) (tallier.Verdict, reserver.Release) {
+func (h *fakeReserver) Reserve(_ context.Context, t *enroller.Target, q aggregator.Request) (aggregator.Verdict, reserver.Release) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 
 	h.requested = append(h.requested, t.ID)
 
 	v := h.verdicts[t.ID]
-	if v.Outcome == tallier.Left && q.Anyway {
-		v.Outcome = tallier.Granted
+	if v.Outcome == aggregator.Excluded && q.AllowExcluded {
+		v.Outcome = aggregator.Granted
 	}
 
-	if v.Outcome == tallier.Full && h.grantsFrom > 0 && q.Most >= h.grantsFrom {
-		v.Outcome = tallier.Granted
+	if v.Outcome == aggregator.Full && h.grantsFrom > 0 && q.MaxCalls >= h.grantsFrom {
+		v.Outcome = aggregator.Granted
 	}
 
-	if v.Outcome == tallier.Full || v.Outcome == tallier.Left {
-		return v, func(tallier.Sign, float64) {}
+	if v.Outcome == aggregator.Full || v.Outcome == aggregator.Excluded {
+		return v, func(aggregator.Result, float64) {}
 	}
 
 	h.open++
 
 	released := false
 
-	return v, func(s tallier.Sign, _ float64) {
+	return v, func(s aggregator.Result, _ float64) {
 		h.mu.Lock()
 		defer h.mu.Unlock()
 
@@ -81,27 +81,27 @@
 // never reach the first. If none has one or no home node answers, it goes to the target selected
 // first. Each reservation is released once, however the call ends.
 func TestSlotReservation(t *testing.T) {
-	granted := tallier.Verdict{Outcome: tallier.Granted, Calls: 1}
-	full := tallier.Verdict{Outcome: tallier.Full, Calls: 8}
-	excluded := tallier.Verdict{Outcome: tallier.Left}
+	granted := aggregator.Verdict{Outcome: aggregator.Granted, Calls: 1}
+	full := aggregator.Verdict{Outcome: aggregator.Full, Calls: 8}
+	excluded := aggregator.Verdict{Outcome: aggregator.Excluded}
 
 	for name, tc := range map[string]struct {
-		verdicts  map[string]tallier.Verdict
+		verdicts  map[string]aggregator.Verdict
 		answer    func(n net.Conn, s received)
 		requested []string
-		signs     []tallier.Sign
+		signs     []aggregator.Result
 		// calls are the numbers of calls that reached the targets.
 		calls  []int
 		status int
 	}{
-		"granted":  {map[string]tallier.Verdict{"t0": granted}, answerOK, []string{"t0"}, []tallier.Sign{tallier.Well}, []int{1, 0}, http.StatusOK},
-		"full":     {map[string]tallier.Verdict{"t0": full, "t1": granted}, answerOK, []string{"t0", "t1"}, []tallier.Sign{tallier.Well}, []int{0, 1}, http.StatusOK},
-		"excluded": {map[string]tallier.Verdict{"t0": excluded, "t1": granted}, answerOK, []string{"t0", "t1"}, []tallier.Sign{tallier.Well}, []int{0, 1}, http.StatusOK},
+		"granted":  {map[string]aggregator.Verdict{"t0": granted}, answerOK, []string{"t0"}, []aggregator.Result{aggregator.Answered}, []int{1, 0}, http.StatusOK},
+		"full":     {map[string]aggregator.Verdict{"t0": full, "t1": granted}, answerOK, []string{"t0", "t1"}, []aggregator.Result{aggregator.Answered}, []int{0, 1}, http.StatusOK},
+		"excluded": {map[string]aggregator.Verdict{"t0": excluded, "t1": granted}, answerOK, []string{"t0", "t1"}, []aggregator.Result{aggregator.Answered}, []int{0, 1}, http.StatusOK},
 		"all excluded": {
-			map[string]tallier.Verdict{"t0": excluded, "t1": excluded}, answerOK, []string{"t0", "t1", "t0"}, []tallier.Sign{tallier.Well}, []int{1, 0}, http.StatusOK,
+			map[string]aggregator.Verdict{"t0": excluded, "t1": excluded}, answerOK, []string{"t0", "t1", "t0"}, []aggregator.Result{aggregator.Answered}, []int{1, 0}, http.StatusOK,
 		},
-		"no home node answers": {nil, answerOK, []string{"t0"}, []tallier.Sign{tallier.Well}, []int{1, 0}, http.StatusOK},
-		"the target fails":     {map[string]tallier.Verdict{"t0": granted, "t1": granted}, func(n net.Conn, _ received) { reset(n) }, []string{"t0", "t1"}, []tallier.Sign{tallier.Failed, tallier.Failed}, []int{1, 1}, http.StatusBadGateway},
+		"no home node answers": {nil, answerOK, []string{"t0"}, []aggregator.Result{aggregator.Answered}, []int{1, 0}, http.StatusOK},
+		"the target fails":     {map[string]aggregator.Verdict{"t0": granted, "t1": granted}, func(n net.Conn, _ received) { reset(n) }, []string{"t0", "t1"}, []aggregator.Result{aggregator.Failed, aggregator.Failed}, []int{1, 1}, http.StatusBadGateway},
 	} {
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
@@ -142,8 +142,8 @@
 			a, b := &target{answer: answerOK}, &target{answer: answerOK}
 			g := newGateway(t, a, b)
 
-			full := tallier.Verdict{Outcome: tallier.Full, Calls: tc.grantsFrom}
-			h := &fakeReserver{verdicts: map[string]tallier.Verdict{"t0": full, "t1": full}, grantsFrom: tc.grantsFrom}
+			full := aggregator.Verdict{Outcome: aggregator.Full, Calls: tc.grantsFrom}
+			h := &fakeReserver{verdicts: map[string]aggregator.Verdict{"t0": full, "t1": full}, grantsFrom: tc.grantsFrom}
 			g.forwarder.SetReserver(h)
 
 			r := g.call(t, http.MethodGet, "/idempotent/", "", "Prompt", tc.prompt)
@@ -171,7 +171,7 @@
 			g := newGateway(t, &target{answer: func(n net.Conn, s received) {
 				reply(n, s, "200 OK", "answer", "Seal: "+s.target, "Running: "+tc.running)
 			}})
-			h := &fakeReserver{verdicts: map[string]tallier.Verdict{"t0": {Outcome: tallier.Granted, Calls: 1}}, reports: make(map[string]int)}
+			h := &fakeReserver{verdicts: map[string]aggregator.Verdict{"t0": {Outcome: aggregator.Granted, Calls: 1}}, reports: make(map[string]int)}
 			g.forwarder.SetReserver(h)
 
 			i.Equal(g.call(t, http.MethodGet, "/idempotent/", "").status, http.StatusOK)
--- a/internal/gatekeeper/construct.go
+++ b/internal/gatekeeper/construct.go
@@ -78,9 +78,9 @@
 
 func newReserver(m *messenger.Messenger, j *joiner.Joiner) *reserver.Reserver {
 	r := reserver.New(m, j)
-	m.Handle(wire.KindReserve, r.Reserved)
-	m.Handle(wire.KindVacate, r.Vacated)
-	m.Handle(wire.KindOccupancy, r.Occupied)
+	m.Handle(wire.KindReserve, r.HandleReserve)
+	m.Handle(wire.KindVacate, r.HandleVacate)
+	m.Handle(wire.KindOccupancy, r.HandleOccupancy)
 
 	return r
 }
@@ -128,7 +128,7 @@
 	p := &peak{count: func() int { return max(len(j.Live()), len(j.Seeds())) }, lasts: sharesStandFor}
 	c := selector.New(selector.DefaultSettings().WithMaxFactor(s.MostLoad))
 	c.Throttle(s.Cold, func() throttler.Fleet {
-		o := throttler.Fleet{Self: j.Self().ID, Most: p.value(), Settled: time.Since(b) >= settledAfter}
+		o := throttler.Fleet{Self: j.Self().ID, MaxInstances: p.value(), Settled: time.Since(b) >= settledAfter}
 		for _, m := range j.Live() {
 			o.Live = append(o.Live, m.ID)
 		}
--- a/internal/granter/rest_test.go
+++ b/internal/granter/backoff_test.go
@@ -10,29 +10,30 @@
 	"github.com/auburntray/auburntray/internal/tracker"
 )
 
-// Guards against places at targets that have asked for rest, and against a wait that ends before it.
-func TestTargetsThatRest(t *testing.T) {
-	const rest = 20 * time.Second
+// Guards against grants at targets in backoff, and against retries before the backoff ends.
+func TestTargetsInBackoff(t *testing.T) {
+	const backoff = 20 * time.Second
 
 	for name, x := range map[string]struct {
-		resting, leaving []uint32
-		// want are the targets that places are at, and wait the least wait where there are none.
+		inBackoff, leaving []uint32
+		// want are the targets that are granted, and wait is the least delay before a retry if there
+		// are none.
 		want []uint32
 		wait time.Duration
 	}{
 		"none":                        {want: []uint32{1, 2, 3}},
-		"one":                         {resting: []uint32{2}, want: []uint32{1, 3}},
-		"all":                         {resting: []uint32{1, 2, 3}, wait: rest},
-		"all that do not leave":       {resting: []uint32{1}, leaving: []uint32{2, 3}, wait: rest},
-		"some leave, and one is well": {resting: []uint32{1}, leaving: []uint32{2}, want: []uint32{3}},
-		"all leave":                   {leaving: []uint32{1, 2, 3}},
+		"one":                         {inBackoff: []uint32{2}, want: []uint32{1, 3}},
+		"all":                         {inBackoff: []uint32{1, 2, 3}, wait: backoff},
+		"all that are not leaving":    {inBackoff: []uint32{1}, leaving: []uint32{2, 3}, wait: backoff},
+		"one in backoff, one leaving": {inBackoff: []uint32{1}, leaving: []uint32{2}, want: []uint32{3}},
+		"all leaving":                 {leaving: []uint32{1, 2, 3}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
 			f := newFixture(3)
 
-			for _, id := range x.resting {
-				f.Rest(f.now, id, rest)
+			for _, id := range x.inBackoff {
+				f.BackOff(f.now, id, backoff)
 			}
 
 			for _, id := range x.leaving {
@@ -42,7 +43,7 @@
 			got := make(map[uint32]bool)
 
 			for chat := range uint64(60) {
-				id, v := f.ask(1, chat+1, 1)
+				id, v := f.reserve(1, chat+1, 1)
 				if v.Reason == granter.Granted {
 					got[v.Target] = true
 					f.Release(f.now, id, granter.Outcome{OK: true})
@@ -64,27 +65,27 @@
 	}
 }
 
-// Guards against all that comes back at once when a rest is over, and against checks of a target that
-// wants nothing.
-func TestRestIsOver(t *testing.T) {
+// Guards against a burst of calls at the end of a backoff, and against health checks of a target in
+// backoff.
+func TestEndOfBackoff(t *testing.T) {
 	i := is.New(t)
 	f := newFixture(1)
-	f.Rest(f.now, 1, time.Minute)
-	i.Equal(len(f.Idle(f.now, f.now.Add(time.Hour))), 0)
+	f.BackOff(f.now, 1, time.Minute)
+	i.Equal(len(f.Unreported(f.now, f.now.Add(time.Hour))), 0)
 
 	f.now = f.now.Add(time.Minute)
-	i.Equal(len(f.Idle(f.now, f.now.Add(time.Hour))), 1)
+	i.Equal(len(f.Unreported(f.now, f.now.Add(time.Hour))), 1)
 
-	id, v := f.ask(1, 1, 1)
+	id, v := f.reserve(1, 1, 1)
 	i.Equal(v.Reason, granter.Granted)
 
-	_, v = f.ask(1, 2, 1)
+	_, v = f.reserve(1, 2, 1)
 	i.Equal(v.Reason, granter.NoTargets)
 
 	f.Release(f.now, id, granter.Outcome{OK: true})
 
 	for n := range uint64(2) {
-		_, v = f.ask(1, 10+n, 1)
+		_, v = f.reserve(1, 10+n, 1)
 		i.Equal(v.Reason, granter.Granted)
 	}
 }
--- a/internal/granter/choose.go
+++ b/internal/granter/choose.go
@@ -10,30 +10,32 @@
 )
 
 const (
-	// reportWindow covers the lag of load reports: a report is compared with
-	// the highest own count of the last one to two windows.
+	// reportWindow covers the lag of load reports: a report is compared with the highest number of own
+	// grants in the current and the previous window.
 	reportWindow = 2 * time.Second
-	// reportEvery is how often an entry is asked to report a target.
-	reportEvery = time.Second
-	// reportTimeout is how long a report counts.
+	// reportInterval is the least time between two requests for a load report of one target.
+	reportInterval = time.Second
+	// reportTimeout is how long a load report is used.
 	reportTimeout = 6 * time.Second
-	// The times at which refused callers are told to come back.
-	retryAtLeast = time.Second
-	retrySpread  = 2 * time.Second
-	// waitStep is after how long a request that waits for its place asks again.
-	waitStep = 80 * time.Millisecond
+	// minRetryAfter and retryJitter bound the delay that refused callers are given before a retry.
+	minRetryAfter = time.Second
+	retryJitter   = 2 * time.Second
+	// retryInterval is the time between two attempts of a request that waits for the target of its
+	// placement.
+	retryInterval = 80 * time.Millisecond
 )
 
-// candidates fills the picker's view of the cell and counts the usable ones.
-func (g *Granter) candidates(now time.Time, a Ask) ([]picker.Candidate, int) {
+// candidates returns the targets of the cell as candidates for the picker, and the number of usable
+// ones. The slice is valid until the next call.
+func (g *Granter) candidates(now time.Time, a Request) ([]picker.Candidate, int) {
 	c := g.scratch[:0]
 	n := 0
-	p := g.ejector.Panic(now, g.ids)
+	p := g.ejector.PanicMode(now, g.ids)
 
 	for _, t := range g.targets {
 		l, r := g.load(now, t)
 		s := a.Allowed == nil || a.Allowed(t.ID)
-		o := !s || g.tracker.Get(t.ID).Leaving || slices.Contains(a.Excluded, t.ID) || (!p && g.ejector.Out(now, t.ID)) || g.sparer.Wait(now, t.ID) > 0
+		o := !s || g.tracker.Get(t.ID).Leaving || slices.Contains(a.Excluded, t.ID) || (!p && g.ejector.Excluded(now, t.ID)) || g.suppressor.Wait(now, t.ID) > 0
 
 		if !o {
 			n++
@@ -54,16 +56,16 @@
 	return c, n
 }
 
-// load returns the work and requests on a target: what this home granted, and
-// what others must have sent. Two routers that both believe to be the home each
-// see the other's part only in the target's reports; without it they would
-// bury the target together.
+// load returns the work and the number of requests at a target: those granted here, and those that
+// others must have sent according to the target's load report. While two routers both consider
+// themselves the cell's home, the report is the only sign of the other's grants; without it, they
+// would overload the target together.
 func (g *Granter) load(now time.Time, t *target) (work float64, requests int) {
 	if t.reported < 0 || now.Sub(t.reportedAt) > reportTimeout {
 		return t.work, t.requests
 	}
 
-	f := t.reported - max(t.peak, t.before)
+	f := t.reported - max(t.peak, t.previousPeak)
 	if f <= 0 {
 		return t.work, t.requests
 	}
@@ -71,7 +73,7 @@
 	return t.work + float64(f)*g.meanWork(), t.requests + f
 }
 
-// meanWork is the work of an average grant.
+// meanWork returns the mean work of a grant, or 1 if there are no grants.
 func (g *Granter) meanWork() float64 {
 	var w float64
 
@@ -89,17 +91,17 @@
 	return w / float64(n)
 }
 
-// place returns the index of the target that holds the chat's prefix and the
-// length held there, or picker.NoTarget.
-func (g *Granter) place(a Ask) (index, tokens int) {
+// placement returns the index of the target that holds the chat's prefix and the number of tokens
+// cached there, or picker.NoTarget.
+func (g *Granter) placement(a Request) (index, tokens int) {
 	if a.Chat == 0 {
 		return picker.NoTarget, 0
 	}
 
-	p, ok := g.places.Get(a.Chat)
+	p, ok := g.placements.Get(a.Chat)
 	if !ok {
-		// The caller's token rebuilds what a lost home knew. The length is not
-		// known then, so the work is counted in full.
+		// The hint replaces placements lost with a former home. It has no prefix length, so the
+		// prompt counts as uncached.
 		p = placer.Place{Target: a.Hint}
 	}
 
@@ -112,26 +114,26 @@
 	return picker.NoTarget, 0
 }
 
-// workParts is into how many parts a request's work is rounded. Sums of such
-// parts are exact, so a load is the same in whatever order grants come and go.
-const workParts = 1024
+// workResolution is the inverse of the unit to which work is rounded. Sums of such values are exact in
+// floating point, so that a load does not depend on the order in which grants start and end.
+const workResolution = 1024
 
-// work is what a request with so many uncached prompt tokens counts for.
+// work returns the work of a request with a number of uncached prompt tokens, in requests.
 func (g *Granter) work(uncached int) float64 {
-	return 1 + math.Round(float64(uncached)*g.settings.PrefillCost*workParts)/workParts
+	return 1 + math.Round(float64(uncached)*g.settings.PrefillCost*workResolution)/workResolution
 }
 
-// worthWaiting says that a request should wait on for its place: computing the
-// cached prefix again elsewhere would take longer than it has waited, and would
-// take that engine's time from others.
-func (g *Granter) worthWaiting(a Ask, cached int) bool {
+// worthWaiting reports whether a request should keep waiting for the target of its placement: computing
+// the cached prefix again at another engine would take longer than the request has waited, and would
+// delay the other requests of that engine.
+func (g *Granter) worthWaiting(a Request, cached int) bool {
 	s := time.Duration(min(cached, a.Prompt)) * g.settings.PrefillTime
 
-	return a.Waited+waitStep <= min(s, g.settings.MaxWait)
+	return a.Waited+retryInterval <= min(s, g.settings.MaxWait)
 }
 
-// capacity sums the requests on the usable candidates, and how many they run at
-// once.
+// capacity returns the number of requests at the usable candidates and the number that these can run
+// concurrently.
 func (g *Granter) capacity(c []picker.Candidate) (used, capacity float64) {
 	for i, x := range c {
 		if x.Counted {
@@ -143,32 +145,32 @@
 	return used, capacity
 }
 
-func (g *Granter) grant(now time.Time, a Ask, t *target, w float64) {
-	g.ejector.Probe(now, t.ID)
-	g.sparer.Sent(now, t.ID)
+func (g *Granter) grant(now time.Time, a Request, t *target, w float64) {
+	g.ejector.StartProbe(now, t.ID)
+	g.suppressor.Sent(now, t.ID)
 	g.start(now, Grant{ID: a.ID, Target: t.ID, Customer: a.Customer, Work: w}, a.Weight)
 
 	if a.Chat != 0 && t.Engine {
-		g.remember(now, a.Chat, placer.Place{Target: t.ID, Tokens: a.Prompt})
+		g.storePlacement(now, a.Chat, placer.Place{Target: t.ID, Tokens: a.Prompt})
 	}
 }
 
-// maxChanged bounds the list of new places; what is dropped from it is passed
-// on with the others in turn.
-const maxChanged = 8192
+// maxChangedChats bounds the list of chats with a new placement. Chats beyond it reach the successor
+// through the scan of all placements, see Granter.ChangedPlacements.
+const maxChangedChats = 8192
 
-func (g *Granter) remember(now time.Time, chat uint64, p placer.Place) {
-	o, ok := g.places.Get(chat)
-	g.places.Put(now, chat, p)
+func (g *Granter) storePlacement(now time.Time, chat uint64, p placer.Place) {
+	o, ok := g.placements.Get(chat)
+	g.placements.Put(now, chat, p)
 
-	if (!ok || o.Target != p.Target) && len(g.changed) < maxChanged {
-		g.changed = append(g.changed, chat)
+	if (!ok || o.Target != p.Target) && len(g.changedChats) < maxChangedChats {
+		g.changedChats = append(g.changedChats, chat)
 	}
 }
 
 func (g *Granter) start(now time.Time, x Grant, weight float64) {
 	g.grants[x.ID] = x
-	g.sharer.Start(now, x.Customer, weight, 1)
+	g.allocator.Start(now, x.Customer, weight, 1)
 
 	t, ok := g.byID[x.Target]
 	if !ok {
@@ -180,14 +182,14 @@
 	t.peak = max(t.peak, t.requests)
 }
 
-func (g *Granter) drop(id ID) {
+func (g *Granter) remove(id ID) {
 	x, ok := g.grants[id]
 	if !ok {
 		return
 	}
 
 	delete(g.grants, id)
-	g.sharer.Finish(x.Customer, 1)
+	g.allocator.Finish(x.Customer, 1)
 
 	t, ok := g.byID[x.Target]
 	if !ok {
@@ -198,46 +200,46 @@
 	t.requests--
 }
 
-// roll starts a new window of peaks when the present one is over.
-func (g *Granter) roll(now time.Time) {
-	if now.Sub(g.window) < reportWindow {
+// rotatePeaks starts a new window for the peak counts once the current one is over.
+func (g *Granter) rotatePeaks(now time.Time) {
+	if now.Sub(g.windowStart) < reportWindow {
 		return
 	}
 
-	g.window = now
+	g.windowStart = now
 
 	for _, t := range g.targets {
-		t.before = t.peak
+		t.previousPeak = t.peak
 		t.peak = t.requests
 	}
 }
 
-// refuseUnserved refuses a request that no target may get. Where the first of them does so after a
-// rest, that is when to come back at the earliest.
-func (g *Granter) refuseUnserved(now time.Time, a Ask) Verdict {
-	var rest time.Duration
+// refuseNoTargets refuses a request that no target can accept. If all selected targets are in backoff,
+// the caller is told to retry no earlier than the end of the shortest one.
+func (g *Granter) refuseNoTargets(now time.Time, a Request) Verdict {
+	var backoff time.Duration
 
 	for _, t := range g.targets {
 		if a.Allowed != nil && !a.Allowed(t.ID) || g.tracker.Get(t.ID).Leaving {
 			continue
 		}
 
-		w := g.sparer.Wait(now, t.ID)
+		w := g.suppressor.Wait(now, t.ID)
 		if w == 0 {
 			return g.refuse(NoTargets)
 		}
 
-		if rest == 0 || w < rest {
-			rest = w
+		if backoff == 0 || w < backoff {
+			backoff = w
 		}
 	}
 
 	v := g.refuse(NoTargets)
-	v.RetryAfter = max(v.RetryAfter, rest+time.Duration(g.random.Int64N(int64(retrySpread))))
+	v.RetryAfter = max(v.RetryAfter, backoff+time.Duration(g.random.Int64N(int64(retryJitter))))
 
 	return v
 }
 
 func (g *Granter) refuse(r Reason) Verdict {
-	return Verdict{Reason: r, RetryAfter: retryAtLeast + time.Duration(g.random.Int64N(int64(retrySpread)))}
+	return Verdict{Reason: r, RetryAfter: minRetryAfter + time.Duration(g.random.Int64N(int64(retryJitter)))}
 }
--- a/internal/granter/grant.go
+++ b/internal/granter/grant.go
@@ -4,30 +4,29 @@
 	"time"
 )
 
-// Grant is one granted place.
+// Grant is a slot at a target that was given to a request.
 type Grant struct {
 	ID       ID
 	Target   uint32
 	Customer uint32
-	// Work is in requests.
+	// Work is the load that the grant adds to the target, in requests.
 	Work float64
 }
 
-// Outcome is how a granted request ended.
+// Outcome is the result of a granted request.
 type Outcome struct {
-	// OK says that the target answered; a caller's own fault counts as OK.
+	// OK reports that the target answered. An answer that blames the caller's request counts as OK.
 	OK bool
-	// NeverSent says that the target did not see the request and was not found
-	// failing either.
+	// NeverSent reports that the request did not reach the target, for a reason that says nothing about
+	// the target's health.
 	NeverSent bool
 }
 
-// Sync replaces what is known of an entry's grants by the entry's own list. An
-// entry sends it to a new home and from time to time, so that a lost release
-// or a grant whose answer was lost doesn't count for ever. Grants numbered
-// after upTo are younger than the list and stay.
+// Sync replaces the recorded grants of an entry with the entry's own list. An entry sends the list to a
+// new home and periodically, so that a grant whose release or verdict was lost does not count for ever.
+// Grants with a sequence number above upTo are newer than the list and remain.
 func (g *Granter) Sync(now time.Time, entry uint64, upTo uint32, l []Grant) {
-	g.entries[entry] = now
+	g.lastSeen[entry] = now
 	k := make(map[ID]bool, len(l))
 
 	for _, x := range l {
@@ -40,27 +39,26 @@
 
 	for id := range g.grants {
 		if id.Entry == entry && id.Seq <= upTo && !k[id] {
-			g.drop(id)
+			g.remove(id)
 		}
 	}
 }
 
-// Forget drops the grants of an entry that is gone.
+// Forget removes all grants of an entry.
 func (g *Granter) Forget(entry uint64) {
 	for id := range g.grants {
 		if id.Entry == entry {
-			g.drop(id)
+			g.remove(id)
 		}
 	}
 
-	delete(g.entries, entry)
+	delete(g.lastSeen, entry)
 }
 
-// Expire forgets the entries that were not heard of for EntryTimeout. Without
-// it the work of a killed entry would count for ever and push its targets'
-// share onto the others.
+// Expire forgets the entries that have sent no message for EntryTimeout. Otherwise the work of a killed
+// entry would count for ever and shift load from its targets to the others.
 func (g *Granter) Expire(now time.Time) {
-	for e, t := range g.entries {
+	for e, t := range g.lastSeen {
 		if now.Sub(t) > g.settings.EntryTimeout {
 			g.Forget(e)
 		}
--- a/internal/granter/granter.go
+++ b/internal/granter/granter.go
@@ -1,16 +1,16 @@
-// Package granter decides, for one cell of targets, which target each request
-// goes to. One instance at a time, the cell's home, holds the cell's Granter,
-// so that the loads it decides on are exact and a place is granted once.
+// Package granter assigns the requests for one cell of targets to targets. One instance at a time, the
+// home of the cell (as in home node), runs the cell's Granter, so that its load counts are exact and no
+// slot is granted twice.
 package granter
 
 import (
 	"math/rand/v2"
 	"time"
 
+	"github.com/auburntray/auburntray/internal/allocator"
 	"github.com/auburntray/auburntray/internal/ejector"
 	"github.com/auburntray/auburntray/internal/picker"
 	"github.com/auburntray/auburntray/internal/placer"
-	"github.com/auburntray/auburntray/internal/sharer"
 	"github.com/auburntray/auburntray/internal/suppressor"
 	"github.com/auburntray/auburntray/internal/tracker"
 )
@@ -20,16 +20,17 @@
 
 	work     float64
 	requests int
-	// peak and before are the highest own counts of the present and the last
-	// window; a lagging report is compared with them.
-	peak, before int
-	reported     int
-	reportedAt   time.Time
-	// askedAt is when an entry was last asked to report.
-	askedAt time.Time
+	// peak and previousPeak are the highest numbers of own grants in the current and the previous
+	// window. Load reports, which lag, are compared with them.
+	peak, previousPeak int
+	// reported is the load in the last report; negative if there was none.
+	reported   int
+	reportedAt time.Time
+	// reportRequestedAt is when an entry was last requested to report the target's load.
+	reportRequestedAt time.Time
 }
 
-// Granter holds the cell's counts. It is not safe for concurrent use.
+// Granter holds the grants and the placements of one cell. It is not safe for concurrent use.
 type Granter struct {
 	settings Settings
 	random   *rand.Rand
@@ -37,41 +38,42 @@
 	ids      []uint32
 	byID     map[uint32]*target
 	grants   map[ID]Grant
-	entries  map[uint64]time.Time
-	places   *placer.Placer
-	sharer   *sharer.Sharer
-	ejector  *ejector.Ejector[uint32]
-	tracker  *tracker.Tracker
-	sparer   *suppressor.Suppressor[uint32]
-	window   time.Time
-	others   []other
-	// changed are the chats whose place is new, and scanned how far the table
-	// was passed on in turn.
-	changed []uint64
-	scanned int
-	scratch []picker.Candidate
+	// lastSeen is the time of the last message of each entry.
+	lastSeen    map[uint64]time.Time
+	placements  *placer.Placer
+	allocator   *allocator.Allocator
+	ejector     *ejector.Ejector[uint32]
+	tracker     *tracker.Tracker
+	suppressor  *suppressor.Suppressor[uint32]
+	windowStart time.Time
+	otherCells  []cellLoad
+	// changedChats are the chats with a new placement, and scanOffset is the position of the cyclic
+	// scan over the table of placements.
+	changedChats []uint64
+	scanOffset   int
+	scratch      []picker.Candidate
 }
 
-// New returns a Granter without targets. The random source spreads the times
-// at which refused callers come back.
+// New returns a Granter without targets. The random source adds jitter to the delays after which
+// refused callers retry.
 func New(s Settings, r *rand.Rand) *Granter {
 	return &Granter{
-		settings: s,
-		random:   r,
-		byID:     make(map[uint32]*target),
-		grants:   make(map[ID]Grant),
-		entries:  make(map[uint64]time.Time),
-		places:   placer.New(s.PlaceBytes),
-		sharer:   sharer.New(),
-		ejector:  ejector.New[uint32](s.Ejector),
-		tracker:  tracker.New(),
-		sparer:   suppressor.New[uint32](),
+		settings:   s,
+		random:     r,
+		byID:       make(map[uint32]*target),
+		grants:     make(map[ID]Grant),
+		lastSeen:   make(map[uint64]time.Time),
+		placements: placer.New(s.PlacementBytes),
+		allocator:  allocator.New(),
+		ejector:    ejector.New[uint32](s.Ejector),
+		tracker:    tracker.New(),
+		suppressor: suppressor.New[uint32](),
 	}
 }
 
-// Update sets the targets of the cell and the limits that are in force. What is
-// known of the incarnations of removed targets stays: one that leaves, is
-// drained and put back must not get new work.
+// Update sets the targets of the cell and the limits in force. The incarnations of removed targets
+// remain recorded: a target that announced its shutdown and is removed and listed again must not be
+// assigned new work before it has restarted.
 func (g *Granter) Update(t []Target, l Limits) {
 	k := make(map[uint32]*target, len(t))
 	n := make([]*target, 0, len(t))
@@ -101,26 +103,25 @@
 	g.settings.Picker.Slack = l.Slack
 }
 
-// Ask decides on a request for a place. A grant counts until Release, or until
-// its entry instance is forgotten. Asking twice with one ID returns the same
-// grant.
-func (g *Granter) Ask(now time.Time, a Ask) Verdict {
+// Reserve decides on a request for a slot. A grant counts until Release, or until its entry instance is
+// forgotten. A repeated request with the ID of a grant returns the target of that grant.
+func (g *Granter) Reserve(now time.Time, a Request) Verdict {
 	if o, ok := g.grants[a.ID]; ok {
 		return Verdict{Target: o.Target}
 	}
 
-	g.roll(now)
-	g.entries[a.ID.Entry] = now
+	g.rotatePeaks(now)
+	g.lastSeen[a.ID.Entry] = now
 
 	c, n := g.candidates(now, a)
 	if n == 0 {
-		return g.refuseUnserved(now, a)
+		return g.refuseNoTargets(now, a)
 	}
 
-	p, h := g.place(a)
-	x, y := g.outside(now, a)
+	p, h := g.placement(a)
+	x, y := g.otherCellsLoad(now, a)
 
-	if v, ok := g.send(now, a, c, p, x, y); ok {
+	if v, ok := g.forward(now, a, c, p, x, y); ok {
 		return v
 	}
 
@@ -128,7 +129,7 @@
 	r := picker.Request{
 		Chat:      a.Chat,
 		Customer:  a.Customer,
-		Share:     g.sharer.Share(a.Customer),
+		Share:     g.allocator.Share(a.Customer),
 		Place:     p,
 		Work:      w,
 		PlaceWork: g.work(max(a.Prompt-h, 0)),
@@ -141,10 +142,10 @@
 	}
 
 	if i != p && p != picker.NoTarget && !c[p].Gone && g.worthWaiting(a, h) {
-		return Verdict{Reason: Wait, RetryAfter: waitStep}
+		return Verdict{Reason: Wait, RetryAfter: retryInterval}
 	}
 
-	if u, m := g.capacity(c); !g.sharer.Admit(now, a.Customer, a.Weight, 1, u, m) {
+	if u, m := g.capacity(c); !g.allocator.Admit(now, a.Customer, a.Weight, 1, u, m) {
 		return g.refuse(OverShare)
 	}
 
@@ -154,62 +155,62 @@
 
 	g.grant(now, a, g.targets[i], w)
 
-	return Verdict{Target: g.targets[i].ID, Returned: i == p, Tell: g.targets[i].tell(now)}
+	return Verdict{Target: g.targets[i].ID, Returned: i == p, ReportDue: g.targets[i].reportDue(now)}
 }
 
-// tell says whether a report of the target is due. One a second is enough, and
-// costs much less than one with each request.
-func (t *target) tell(now time.Time) bool {
-	if now.Sub(t.reportedAt) < reportEvery || now.Sub(t.askedAt) < reportEvery {
+// reportDue reports whether an entry is to report the target's load, and records the time if so. One
+// report per reportInterval is sufficient and costs much less than one with each request.
+func (t *target) reportDue(now time.Time) bool {
+	if now.Sub(t.reportedAt) < reportInterval || now.Sub(t.reportRequestedAt) < reportInterval {
 		return false
 	}
 
-	t.askedAt = now
+	t.reportRequestedAt = now
 
 	return true
 }
 
-// Release ends a grant. Releasing a grant that is not known, or twice, does
-// nothing.
+// Release ends a grant. It does nothing if the grant is unknown or was released before.
 func (g *Granter) Release(now time.Time, id ID, o Outcome) {
-	g.roll(now)
-	g.entries[id.Entry] = now
+	g.rotatePeaks(now)
+	g.lastSeen[id.Entry] = now
 
 	x, ok := g.grants[id]
 	if !ok {
 		return
 	}
 
-	g.drop(id)
+	g.remove(id)
 
 	if _, ok := g.byID[x.Target]; !ok {
 		return
 	}
 
 	if o.NeverSent {
-		g.sparer.Withdraw(x.Target)
+		g.suppressor.Withdraw(x.Target)
 
 		return
 	}
 
-	g.ejector.Result(now, x.Target, o.OK)
+	g.ejector.RecordResult(now, x.Target, o.OK)
 
 	if o.OK {
-		g.sparer.Answered(now, x.Target)
+		g.suppressor.Answered(now, x.Target)
 	}
 }
 
-// Rest takes that a target, which turned a request away, wants none for a time. It gets none from any
-// entry, as all of them ask here.
-func (g *Granter) Rest(now time.Time, t uint32, d time.Duration) {
+// BackOff starts a backoff: a target that refused a request asked for no calls for a duration. It gets none
+// from any entry, since all entries request their slots here. Unknown targets are ignored.
+func (g *Granter) BackOff(now time.Time, t uint32, d time.Duration) {
 	if _, ok := g.byID[t]; ok {
-		g.sparer.StartBackoff(now, t, d)
+		g.suppressor.StartBackoff(now, t, d)
 	}
 }
 
-// Report takes what a target says of itself at present: the beginning of an answer
-// or a health check, not the end of an answer that began long ago. A negative
-// number of requests is no report of load; a zero State none of its incarnation.
+// Report records the load and the state that a target reported at the beginning of an answer or in a
+// health check. Values from the end of a long answer are stale and must not be passed. A negative number
+// of requests means that the load is unknown, and a zero incarnation that the state is. Unknown targets
+// are ignored.
 func (g *Granter) Report(now time.Time, t uint32, requests int, s tracker.State) {
 	x, ok := g.byID[t]
 	if !ok {
@@ -226,51 +227,51 @@
 	}
 }
 
-// Probed takes the result of a health check that no request was waiting for.
-func (g *Granter) Probed(now time.Time, t uint32, ok bool) {
-	g.ejector.Result(now, t, ok)
+// RecordProbe records the result of an active health check, which no request was waiting for.
+func (g *Granter) RecordProbe(now time.Time, t uint32, ok bool) {
+	g.ejector.RecordResult(now, t, ok)
 }
 
-// Remember notes a chat's place, as the home before this one told it. What this
-// Granter granted itself since is newer and stays.
-func (g *Granter) Remember(now time.Time, chat uint64, p placer.Place) {
+// RecordPlacement records a placement received from the cell's former home. A placement that this Granter
+// may have made itself is newer and remains.
+func (g *Granter) RecordPlacement(now time.Time, chat uint64, p placer.Place) {
 	if len(g.grants) > 0 {
-		if _, ok := g.places.Get(chat); ok {
+		if _, ok := g.placements.Get(chat); ok {
 			return
 		}
 	}
 
-	g.places.Put(now, chat, p)
+	g.placements.Put(now, chat, p)
 }
 
-// Changed returns up to n places that are new since the last call, and some of
-// the others in turn, for the home that comes after this one. The others make
-// good what a successor missed that was new itself.
-func (g *Granter) Changed(n, others int) []placer.Chat {
+// ChangedPlacements returns up to n placements that are new since the last call, for the cell's next home, and
+// the next ones of a cyclic scan over all placements, up to the number others. The scan repairs what a
+// successor missed because it had just started itself.
+func (g *Granter) ChangedPlacements(n, others int) []placer.Chat {
 	var o []placer.Chat
 
-	k := min(n, len(g.changed))
+	k := min(n, len(g.changedChats))
 
-	for _, c := range g.changed[:k] {
-		if p, ok := g.places.Get(c); ok {
+	for _, c := range g.changedChats[:k] {
+		if p, ok := g.placements.Get(c); ok {
 			o = append(o, placer.Chat{Chat: c, Place: p})
 		}
 	}
 
-	g.changed = append(g.changed[:0], g.changed[k:]...)
+	g.changedChats = append(g.changedChats[:0], g.changedChats[k:]...)
 
-	x, next := g.places.Scan(g.scanned, others)
-	g.scanned = next
+	x, next := g.placements.Scan(g.scanOffset, others)
+	g.scanOffset = next
 
 	return append(o, x...)
 }
 
-// Places returns the table of places, for handing it over.
-func (g *Granter) Places() *placer.Placer {
-	return g.places
+// Placements returns the table of placements, for the handover to the next home.
+func (g *Granter) Placements() *placer.Placer {
+	return g.placements
 }
 
-// Load returns the work and the requests counted on a target.
+// Load returns the work and the number of requests granted at a target; zero if it is unknown.
 func (g *Granter) Load(t uint32) (work float64, requests int) {
 	x, ok := g.byID[t]
 	if !ok {
@@ -280,17 +281,17 @@
 	return x.work, x.requests
 }
 
-// Len returns the number of grants that count.
+// Len returns the number of grants in progress.
 func (g *Granter) Len() int {
 	return len(g.grants)
 }
 
-// Idle lists the targets that have not reported since a time.
-func (g *Granter) Idle(now, since time.Time) []uint32 {
+// Unreported returns the targets without a load report since a point in time, except for those in backoff.
+func (g *Granter) Unreported(now, since time.Time) []uint32 {
 	var o []uint32
 
 	for _, t := range g.targets {
-		if t.reportedAt.Before(since) && !g.sparer.InBackoff(now, t.ID) {
+		if t.reportedAt.Before(since) && !g.suppressor.InBackoff(now, t.ID) {
 			o = append(o, t.ID)
 		}
 	}
--- a/internal/granter/spill.go
+++ b/internal/granter/spill.go
@@ -8,43 +8,41 @@
 )
 
 const (
-	// otherTimeout is how long the load of another cell counts after it was
-	// last told.
-	otherTimeout = 5 * time.Second
-	// spillFactor is how far above the pool's mean a cell's own mean is when it
-	// sends new chats to the least loaded cell.
-	spillFactor = 1.02
+	// cellLoadTimeout is how long the reported load of another cell is used.
+	cellLoadTimeout = 5 * time.Second
+	// spillThreshold is the ratio of the cell's mean load to the pool's above which new chats are
+	// forwarded to the least loaded cell.
+	spillThreshold = 1.02
 )
 
-// other is another cell of the pool, as its home told of it.
-type other struct {
+// cellLoad is the load of another cell of the pool, as reported by its home.
+type cellLoad struct {
 	cell         uint32
 	load, weight float64
 	at           time.Time
 }
 
-// Other takes the load and the capacity of another cell of the pool in the same
-// region. With it the bound holds against the mean of the pool and not of each
-// cell: chats hash to cells unevenly, and without it the fullest cell of a
-// large pool stays a sixth above the others.
-func (g *Granter) Other(now time.Time, cell uint32, load, weight float64) {
-	n := other{cell: cell, load: load, weight: weight, at: now}
+// ReportCell records the load and the capacity of another cell of the pool in the same region. With them the
+// load bound is relative to the mean of the pool instead of each cell: chats hash to cells unevenly, and
+// otherwise the fullest cell of a large pool remains a sixth above the others.
+func (g *Granter) ReportCell(now time.Time, cell uint32, load, weight float64) {
+	n := cellLoad{cell: cell, load: load, weight: weight, at: now}
 
-	for i, o := range g.others {
+	for i, o := range g.otherCells {
 		if o.cell == cell {
-			g.others[i] = n
+			g.otherCells[i] = n
 
 			return
 		}
 	}
 
-	g.others = append(g.others, n)
+	g.otherCells = append(g.otherCells, n)
 }
 
-// fresh returns what is known of another cell, or nil.
-func (g *Granter) fresh(now time.Time, cell uint32) *other {
-	for i := range g.others {
-		if o := &g.others[i]; o.cell == cell && now.Sub(o.at) < otherTimeout {
+// recentLoad returns the load of another cell, or nil if there is no recent report.
+func (g *Granter) recentLoad(now time.Time, cell uint32) *cellLoad {
+	for i := range g.otherCells {
+		if o := &g.otherCells[i]; o.cell == cell && now.Sub(o.at) < cellLoadTimeout {
 			return o
 		}
 	}
@@ -52,16 +50,16 @@
 	return nil
 }
 
-// Total returns the load and the capacity of the cell's targets that are in
-// service, to be told to the other cells of the pool.
-func (g *Granter) Total(now time.Time) (load, weight float64) {
-	c, _ := g.candidates(now, Ask{})
+// CellLoad returns the load and the capacity of the cell's targets in service, for the report to the other
+// cells of the pool.
+func (g *Granter) CellLoad(now time.Time) (load, weight float64) {
+	c, _ := g.candidates(now, Request{})
 
-	return sum(c)
+	return totalLoad(c)
 }
 
-// sum adds up the candidates that count.
-func sum(c []picker.Candidate) (load, weight float64) {
+// totalLoad returns the load and the weight of the usable candidates.
+func totalLoad(c []picker.Candidate) (load, weight float64) {
 	for _, x := range c {
 		if x.Counted {
 			load += x.Load
@@ -72,9 +70,9 @@
 	return load, weight
 }
 
-// outside sums the pool's other cells. For a rule that selects only some of the
-// cell's targets the other cells say nothing.
-func (g *Granter) outside(now time.Time, a Ask) (load, weight float64) {
+// otherCellsLoad returns the load and the weight of the pool's other cells. Both are zero if the
+// routing rule selects only some of the cell's targets, since the loads of whole cells do not apply then.
+func (g *Granter) otherCellsLoad(now time.Time, a Request) (load, weight float64) {
 	if a.Allowed != nil {
 		for _, t := range g.targets {
 			if !a.Allowed(t.ID) {
@@ -83,8 +81,8 @@
 		}
 	}
 
-	for _, o := range g.others {
-		if now.Sub(o.at) < otherTimeout {
+	for _, o := range g.otherCells {
+		if now.Sub(o.at) < cellLoadTimeout {
 			load += o.load
 			weight += o.weight
 		}
@@ -93,49 +91,48 @@
 	return load, weight
 }
 
-// send decides whether another cell is to serve the request: one that is known
-// to hold the chat, or the least loaded one for a chat that is new while this
-// cell is above the pool's mean. It remembers where it sent a chat, so that the
-// chat finds its way back without a token.
-func (g *Granter) send(now time.Time, a Ask, c []picker.Candidate, place int, load, weight float64) (Verdict, bool) {
-	if a.Sent || weight == 0 || place != picker.NoTarget {
+// forward decides whether another cell is to serve the request: the cell to which the chat was forwarded
+// before, or, for a new chat while this cell is above the pool's mean, the least loaded cell. It records
+// the cell of a forwarded chat, so that the chat's next request is forwarded there without a hint.
+func (g *Granter) forward(now time.Time, a Request, c []picker.Candidate, placement int, load, weight float64) (Verdict, bool) {
+	if a.Forwarded || weight == 0 || placement != picker.NoTarget {
 		return Verdict{}, false
 	}
 
-	if p, ok := g.places.Get(a.Chat); ok && a.Chat != 0 {
-		if g.fresh(now, p.Target) != nil {
+	if p, ok := g.placements.Get(a.Chat); ok && a.Chat != 0 {
+		if g.recentLoad(now, p.Target) != nil {
 			return Verdict{Reason: Elsewhere, Cell: p.Target}, true
 		}
 	}
 
-	l, w := sum(c)
-	if w == 0 || l/w <= spillFactor*(l+load)/(w+weight) {
+	l, w := totalLoad(c)
+	if w == 0 || l/w <= spillThreshold*(l+load)/(w+weight) {
 		return Verdict{}, false
 	}
 
-	k := g.emptiest(now)
+	k := g.leastLoadedCell(now)
 	if k == nil {
 		return Verdict{}, false
 	}
 
-	// The load that was told grows by what is sent there until it is told anew;
-	// otherwise all that is sent within a second would go to one cell.
+	// Forwarded requests are added to the reported load until the next report, which may be a second
+	// away; otherwise all requests until then would be forwarded to the same cell.
 	k.load++
 
 	if a.Chat != 0 {
-		g.remember(now, a.Chat, placer.Place{Target: k.cell})
+		g.storePlacement(now, a.Chat, placer.Place{Target: k.cell})
 	}
 
 	return Verdict{Reason: Elsewhere, Cell: k.cell}, true
 }
 
-// emptiest returns the least loaded of the other cells, or nil.
-func (g *Granter) emptiest(now time.Time) *other {
-	var k *other
+// leastLoadedCell returns the least loaded of the other cells, or nil if no load is recent.
+func (g *Granter) leastLoadedCell(now time.Time) *cellLoad {
+	var k *cellLoad
 
-	for i := range g.others {
-		o := &g.others[i]
-		if now.Sub(o.at) >= otherTimeout || o.weight == 0 {
+	for i := range g.otherCells {
+		o := &g.otherCells[i]
+		if now.Sub(o.at) >= cellLoadTimeout || o.weight == 0 {
 			continue
 		}
 
--- a/internal/granter/verdict.go
+++ b/internal/granter/verdict.go
@@ -4,42 +4,42 @@
 	"time"
 )
 
-// Reason says why an Ask was refused.
+// Reason is the reason why a request was refused.
 type Reason uint8
 
-// The reasons.
+// Reasons of a Verdict.
 const (
-	// Granted is no refusal.
+	// Granted means that the request was not refused. It is the zero value.
 	Granted Reason = iota
-	// Full means that no target has room.
+	// Full means that no target has a free slot.
 	Full
-	// OverShare means that the customer has its share and no capacity is idle.
+	// OverShare means that the customer uses up its share and that there is no idle capacity.
 	OverShare
-	// NoTargets means that no target in service is selected.
+	// NoTargets means that the routing rule selects no target that is in service.
 	NoTargets
-	// Wait means that the chat's place is over its bound for the moment, and
-	// waiting a little costs less than a place without the chat's prefix.
+	// Wait means that the target of the chat's placement is above its load bound, and that waiting
+	// for it costs less than computing the chat's prefix again elsewhere.
 	Wait
-	// Elsewhere means that another cell of the pool, given in Cell, holds the
-	// chat or is less loaded.
+	// Elsewhere means that another cell of the pool, given in Verdict.Cell, holds the chat or is less
+	// loaded.
 	Elsewhere
 )
 
-// String returns the reason's name.
+// String returns the name of the reason.
 func (r Reason) String() string {
 	return [...]string{"granted", "full", "overShare", "noTargets", "wait", "elsewhere"}[r]
 }
 
-// Verdict is the answer to an Ask.
+// Verdict is the answer to a request for a slot.
 type Verdict struct {
 	Reason Reason
 	Target uint32
-	// Cell is the cell to ask when the request is sent elsewhere.
+	// Cell is the cell to request a slot from if the Reason is Elsewhere.
 	Cell uint32
-	// Returned says that the target holds the chat's prefix by what is known.
+	// Returned reports that the target is the one of the chat's placement, which holds its prefix.
 	Returned bool
-	// Tell asks for a Report when the target's answer begins.
-	Tell bool
-	// RetryAfter is when to ask again after a refusal.
+	// ReportDue requests a Report of the target's load once its answer begins.
+	ReportDue bool
+	// RetryAfter is the delay before a retry after a refusal.
 	RetryAfter time.Duration
 }
--- a/internal/keeper/answer.go
+++ b/internal/keeper/answer.go
@@ -30,17 +30,17 @@
 	defer h.mu.Unlock()
 
 	h.used = now
-	v := h.granter.Ask(now, granter.Ask{
-		ID:       granter.ID{Entry: entry, Seq: w.Seq},
-		Chat:     w.Chat,
-		Customer: w.Customer,
-		Weight:   f.Matcher.Weight(w.Customer),
-		Prompt:   int(w.Prompt),
-		Waited:   time.Duration(w.WaitedMs) * time.Millisecond,
-		Hint:     w.Hint,
-		Allowed:  allowed(f.Matcher, r),
-		Excluded: w.Excluded,
-		Sent:     w.Sent,
+	v := h.granter.Reserve(now, granter.Request{
+		ID:        granter.ID{Entry: entry, Seq: w.Seq},
+		Chat:      w.Chat,
+		Customer:  w.Customer,
+		Weight:    f.Matcher.Weight(w.Customer),
+		Prompt:    int(w.Prompt),
+		Waited:    time.Duration(w.WaitedMs) * time.Millisecond,
+		Hint:      w.Hint,
+		Allowed:   allowed(f.Matcher, r),
+		Excluded:  w.Excluded,
+		Forwarded: w.Sent,
 	})
 
 	return wire.Verdict{
@@ -68,7 +68,7 @@
 // Rest takes that a target has asked an entry for rest.
 func (k *Keeper) Rest(now time.Time, w wire.Rest) {
 	k.at(now, w.Cell, func(h *home) {
-		h.granter.Rest(now, w.Target, time.Duration(w.ForMs)*time.Millisecond)
+		h.granter.BackOff(now, w.Target, time.Duration(w.ForMs)*time.Millisecond)
 	})
 }
 
@@ -108,7 +108,7 @@
 // Other takes the load of another cell of a pool.
 func (k *Keeper) Other(now time.Time, w wire.CellLoad) {
 	k.at(now, w.To, func(h *home) {
-		h.granter.Other(now, w.From, float64(w.Milli)/milli, float64(w.Weight))
+		h.granter.ReportCell(now, w.From, float64(w.Milli)/milli, float64(w.Weight))
 	})
 }
 
@@ -119,7 +119,7 @@
 		h.holder = from
 
 		for _, p := range w.Places {
-			h.granter.Remember(now, p.Chat, placer.Place{Target: p.Target, Tokens: int(p.Tokens)})
+			h.granter.RecordPlacement(now, p.Chat, placer.Place{Target: p.Target, Tokens: int(p.Tokens)})
 		}
 	})
 }
@@ -131,7 +131,7 @@
 		f |= wire.FlagReturned
 	}
 
-	if v.Tell {
+	if v.ReportDue {
 		f |= wire.FlagTell
 	}
 
--- a/internal/keeper/places.go
+++ b/internal/keeper/places.go
@@ -12,7 +12,7 @@
 
 	for _, h := range k.snapshot() {
 		h.mu.Lock()
-		n += h.granter.Places().Len()
+		n += h.granter.Placements().Len()
 		h.mu.Unlock()
 	}
 
@@ -23,7 +23,7 @@
 func (k *Keeper) Each(f func(cell uint32, l []wire.Place)) {
 	for id, h := range k.snapshot() {
 		h.mu.Lock()
-		l, _ := h.granter.Places().Scan(0, math.MaxInt)
+		l, _ := h.granter.Placements().Scan(0, math.MaxInt)
 		h.mu.Unlock()
 
 		f(id, places(l))
--- a/internal/keeper/probe.go
+++ b/internal/keeper/probe.go
@@ -41,7 +41,7 @@
 // probe asks the cell's quiet targets for their health, each in the background.
 func (k *Keeper) probe(c context.Context, now time.Time, m *matcher.Matcher, h *home) {
 	h.mu.Lock()
-	l := h.granter.Idle(now, now.Add(-quietAfter))
+	l := h.granter.Unreported(now, now.Add(-quietAfter))
 	h.mu.Unlock()
 
 	for _, id := range l {
@@ -73,7 +73,7 @@
 	defer h.mu.Unlock()
 
 	n := time.Now()
-	h.granter.Probed(n, t.ID, err == nil)
+	h.granter.RecordProbe(n, t.ID, err == nil)
 
 	if err == nil {
 		h.granter.Report(n, t.ID, r.Requests, r.State)
--- a/internal/keeper/tell.go
+++ b/internal/keeper/tell.go
@@ -35,7 +35,7 @@
 // is killed costs its chats no prompt cache even where callers return no token.
 func (k *Keeper) replicate(x *matcher.Cell, h *home) {
 	h.mu.Lock()
-	l := h.granter.Changed(newPlaces, otherPlaces)
+	l := h.granter.ChangedPlacements(newPlaces, otherPlaces)
 	h.mu.Unlock()
 
 	if len(l) > 0 {
@@ -73,7 +73,7 @@
 		return
 	}
 
-	l, next := h.granter.Places().Scan(h.handed, handedPlaces)
+	l, next := h.granter.Placements().Scan(h.handed, handedPlaces)
 	h.handed = next
 
 	if next == 0 {
@@ -104,7 +104,7 @@
 	}
 
 	h.mu.Lock()
-	a, w := h.granter.Total(now)
+	a, w := h.granter.CellLoad(now)
 	h.mu.Unlock()
 
 	for _, y := range l {
--- a/internal/quarantiner/replay_test.go
+++ b/internal/quarantiner/replay_test.go
@@ -9,10 +9,10 @@
 
 	"github.com/matryer/is"
 
-	"github.com/auburntray/auburntray/internal/confiner"
 	"github.com/auburntray/auburntray/internal/digester"
 	"github.com/auburntray/auburntray/internal/enroller"
 	"github.com/auburntray/auburntray/internal/quarantiner"
+	"github.com/auburntray/auburntray/internal/sharder"
 )
 
 // load is a service with calls that end targets among the others.
@@ -88,7 +88,7 @@
 		next    = enroller.Name(1)
 		unique  = digester.Digest(1 << 32)
 		now     = start()
-		c       = confiner.New()
+		c       = sharder.New()
 		whose   = rand.New(rand.NewPCG(3, 4))
 		listed  = listing(l.targets)
 	)
@@ -114,7 +114,7 @@
 		// Each end is of another process.
 		ended := *listed[i]
 		ended.Start = now
-		c.Ended(now, enter(ended))
+		c.RecordCrash(now, enter(ended))
 
 		process[i] = next
 		next++
@@ -136,8 +136,8 @@
 		}
 
 		allowed := listed
-		if c.Confined(now, "g", l.targets) {
-			allowed = confiner.Part(x.customer, listed)
+		if c.Sharded(now, "g", l.targets) {
+			allowed = sharder.Shard(x.customer, listed)
 		}
 
 		i := r.IntN(l.targets)
--- a/internal/reserver/reserver.go
+++ b/internal/reserver/reserver.go
@@ -1,10 +1,11 @@
-// Package reserver asks the homes of targets for room for calls, and answers other instances
-// for the targets whose home this one is.
+// Package reserver reserves slots for calls at the homes of targets, and handles the reservations of
+// other instances for the targets whose home this instance is.
 //
-// The home of a target is an instance of the target's own data centre, the first by
-// rendezvous: whoever is cut off from the home is cut off from the target too, and needs
-// no room there. Nothing is agreed on and nothing is lost with a home. The next one counts
-// anew, and targets' own words make good what it does not know.
+// The home of a target (as in home node) is the one instance that counts the calls at the target: the
+// first by rendezvous hashing among the instances in the target's data centre. An instance that is
+// partitioned from the home is also partitioned from the target, and needs no slot there. Homes need no
+// consensus and keep no durable state. After a failure the next home starts with empty counts, and the
+// load reports of targets supply what is missing.
 package reserver
 
 import (
@@ -18,93 +19,96 @@
 	"github.com/sirupsen/logrus"
 	"github.com/tinylib/msgp/msgp"
 
+	"github.com/auburntray/auburntray/internal/aggregator"
 	"github.com/auburntray/auburntray/internal/enroller"
 	"github.com/auburntray/auburntray/internal/gossiper"
 	"github.com/auburntray/auburntray/internal/hasher"
-	"github.com/auburntray/auburntray/internal/tallier"
 	"github.com/auburntray/auburntray/internal/wire"
 )
 
-// ErrReservation marks a message that can't be read.
-var ErrReservation = errors.New("the reservation is not valid")
+// ErrReservation marks errors of messages that can't be decoded.
+var ErrReservation = errors.New("invalid reservation message")
 
 const (
-	// leastInstances is from how many instances on homes are asked. With fewer, what they
-	// tell each other of loads is younger than a call is long: 16 ms for each of them.
-	leastInstances = 16
-	// askTimeout is how long a home may take. In a region an answer takes a millisecond or
-	// two, and a call should begin within some hundred.
-	askTimeout = 30 * time.Millisecond
-	// silentFor is how long a home that gave no answer is not asked. Its targets are chosen
-	// by what is known here, as they are where there is no home.
-	silentFor = time.Second
-	// sendTimeout bounds a message that has no answer.
+	// minInstances is the number of live instances from which on slots are reserved. With fewer, load
+	// updates between instances are more recent than the duration of a call: they take 16 ms per
+	// instance.
+	minInstances = 16
+	// reserveTimeout bounds a request to a home. Within a region a reply takes one or two
+	// milliseconds, and a call should begin within about a hundred.
+	reserveTimeout = 30 * time.Millisecond
+	// homeBackoff is how long a home that did not reply gets no further requests. Meanwhile its targets
+	// are chosen by local information, as without a home.
+	homeBackoff = time.Second
+	// sendTimeout bounds the sending of a message without a reply.
 	sendTimeout = 300 * time.Millisecond
-	// whole is a part of one in hundredths.
-	whole = 100
+	// fractionUnits is the number of units in one; fractions are sent in hundredths.
+	fractionUnits = 100
 )
 
-// Messenger talks to other instances.
+// Messenger sends messages to other instances. Call waits for the reply, Send does not.
 type Messenger interface {
 	Call(c context.Context, a netip.AddrPort, k wire.Kind, q msgp.Marshaler, r msgp.Unmarshaler) error
 	Send(c context.Context, a netip.AddrPort, k wire.Kind, m msgp.Marshaler) error
 }
 
-// Members knows the other instances.
+// Members returns the live instances, the home of a key among those in some data centres, and this
+// instance itself.
 type Members interface {
 	Live() []gossiper.Member
 	Home(key uint64, centres []string) (gossiper.Member, bool)
 	Self() gossiper.Member
 }
 
-// Reserver asks and answers. It is safe for concurrent use.
+// Reserver reserves slots and handles reservations. It is safe for concurrent use.
 type Reserver struct {
 	messenger Messenger
 	members   Members
 
-	mu      sync.Mutex
-	tallier *tallier.Tallier
-	number  uint64
-	// silent is when a home gave no answer, by its ID.
-	silent map[uint64]time.Time
+	mu         sync.Mutex
+	aggregator *aggregator.Aggregator
+	number     uint64
+	// silentSince is the time of the last request without a reply, by the ID of the home.
+	silentSince map[uint64]time.Time
 }
 
-// New returns a Reserver that knows of no call.
+// New returns a Reserver without reservations.
 func New(m Messenger, x Members) *Reserver {
-	return &Reserver{messenger: m, members: x, tallier: tallier.New(), silent: make(map[uint64]time.Time)}
+	return &Reserver{messenger: m, members: x, aggregator: aggregator.New(), silentSince: make(map[uint64]time.Time)}
 }
 
-// Release ends a reservation, with what the call showed of its target and how long the answer
-// took to begin, as a part of the time within which it is of full use; zero when it did not. It
-// does not wait, and may be called whatever the outcome was.
-type Release func(s tallier.Sign, pace float64)
+// Release ends a reservation with the result of the call and its latency, see evaluator.Evaluator; a
+// latency of zero is unknown. It does not block, and may be called whatever the outcome of the
+// reservation was.
+type Release func(s aggregator.Result, latency float64)
 
-// Reserve asks for room for a call at a target. Of the request it sets the ID and the Target.
-func (r *Reserver) Reserve(c context.Context, t *enroller.Target, q tallier.Request) (tallier.Verdict, Release) {
+// Reserve requests a slot for a call at a target. It sets the ID and the Target of the request. The
+// outcome is Unanswered if the target has no home or its home does not reply.
+func (r *Reserver) Reserve(c context.Context, t *enroller.Target, q aggregator.Request) (aggregator.Verdict, Release) {
 	h, ok := r.home(t)
 	if !ok {
-		return tallier.Verdict{}, func(tallier.Sign, float64) {}
+		return aggregator.Verdict{}, func(aggregator.Result, float64) {}
 	}
 
-	q.ID = tallier.ID{Instance: r.members.Self().ID, Number: r.next()}
+	q.ID = aggregator.ID{Instance: r.members.Self().ID, Number: r.nextNumber()}
 	q.Target = t.Key().Name()
 
 	if h.ID == q.ID.Instance {
-		return r.count(q), func(s tallier.Sign, pace float64) { r.release(q.Target, q.ID, s, pace) }
+		return r.reserve(q), func(s aggregator.Result, latency float64) { r.release(q.Target, q.ID, s, latency) }
 	}
 
-	v := r.ask(c, h, q)
-	if v.Outcome == tallier.Full || v.Outcome == tallier.Left {
-		return v, func(tallier.Sign, float64) {}
+	v := r.request(c, h, q)
+	if v.Outcome == aggregator.Full || v.Outcome == aggregator.Excluded {
+		return v, func(aggregator.Result, float64) {}
 	}
 
-	// Without an answer it may be counted all the same.
-	return v, func(s tallier.Sign, pace float64) {
-		r.send(h, wire.KindVacate, &wire.Vacate{Target: uint32(q.Target), Number: q.ID.Number, Sign: uint8(s), Pace: hundredths(pace)})
+	// Without a reply, the home may have counted the call nevertheless.
+	return v, func(s aggregator.Result, latency float64) {
+		r.send(h, wire.KindVacate, &wire.Vacate{Target: uint32(q.Target), Number: q.ID.Number, Sign: uint8(s), Pace: hundredths(latency)})
 	}
 }
 
-// Report tells the home of a target how many calls that said it has.
+// Report sends the number of calls that a target reported to the target's home.
 func (r *Reserver) Report(t *enroller.Target, calls int) {
 	h, ok := r.home(t)
 	if !ok {
@@ -114,7 +118,7 @@
 	o := wire.Occupancy{Target: uint32(t.Key().Name()), Calls: uint32(max(calls, 0))} //nolint:gosec // Small.
 
 	if h.ID == r.members.Self().ID {
-		r.occupy(o)
+		r.reportLoad(o)
 
 		return
 	}
@@ -122,57 +126,56 @@
 	r.send(h, wire.KindOccupancy, &o)
 }
 
-// Forget takes a list of targets that has changed, and drops the counts of those that are
-// not on it.
+// Forget drops the counts of the targets that are not in a changed registry.
 func (r *Reserver) Forget(l *enroller.Roster) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
-	r.tallier.Keep(func(n enroller.Name) bool { return l.Names[n] != nil })
+	r.aggregator.Retain(func(n enroller.Name) bool { return l.Names[n] != nil })
 }
 
-// Reserved answers another instance that asks for room.
-func (r *Reserver) Reserved(_ context.Context, from uint64, body []byte) (msgp.Marshaler, error) {
+// HandleReserve handles a request of another instance for a slot.
+func (r *Reserver) HandleReserve(_ context.Context, from uint64, body []byte) (msgp.Marshaler, error) {
 	var q wire.Reserve
 	if _, err := q.UnmarshalMsg(body); err != nil {
 		return nil, errors.Mark(err, ErrReservation)
 	}
 
-	v := r.count(tallier.Request{
-		ID: tallier.ID{Instance: from, Number: q.Number}, Target: enroller.Name(q.Target), Most: int(q.Most),
-		Until: time.Now().Add(time.Duration(q.WithinMs) * time.Millisecond), Usual: part(q.Usual), Anyway: q.Anyway,
+	v := r.reserve(aggregator.Request{
+		ID: aggregator.ID{Instance: from, Number: q.Number}, Target: enroller.Name(q.Target), MaxCalls: int(q.Most),
+		Deadline: time.Now().Add(time.Duration(q.WithinMs) * time.Millisecond), MedianLatency: fraction(q.Usual), AllowExcluded: q.Anyway,
 	})
 
-	return &wire.Room{Outcome: uint8(v.Outcome), Calls: uint32(v.Calls), Pace: hundredths(v.Pace)}, nil //nolint:gosec // Small.
+	return &wire.Room{Outcome: uint8(v.Outcome), Calls: uint32(v.Calls), Pace: hundredths(v.Latency)}, nil //nolint:gosec // Small.
 }
 
-// Vacated takes the end of another instance's reservation.
-func (r *Reserver) Vacated(_ context.Context, from uint64, body []byte) (msgp.Marshaler, error) {
+// HandleVacate handles the release of another instance's reservation.
+func (r *Reserver) HandleVacate(_ context.Context, from uint64, body []byte) (msgp.Marshaler, error) {
 	var w wire.Vacate
 	if _, err := w.UnmarshalMsg(body); err != nil {
 		return nil, errors.Mark(err, ErrReservation)
 	}
 
-	r.release(enroller.Name(w.Target), tallier.ID{Instance: from, Number: w.Number}, tallier.Sign(w.Sign), part(w.Pace))
+	r.release(enroller.Name(w.Target), aggregator.ID{Instance: from, Number: w.Number}, aggregator.Result(w.Sign), fraction(w.Pace))
 
 	return nil, nil //nolint:nilnil // It has no reply.
 }
 
-// Occupied takes another instance's word on what a target said of its load.
-func (r *Reserver) Occupied(_ context.Context, _ uint64, body []byte) (msgp.Marshaler, error) {
+// HandleOccupancy handles a target's load report that another instance received.
+func (r *Reserver) HandleOccupancy(_ context.Context, _ uint64, body []byte) (msgp.Marshaler, error) {
 	var w wire.Occupancy
 	if _, err := w.UnmarshalMsg(body); err != nil {
 		return nil, errors.Mark(err, ErrReservation)
 	}
 
-	r.occupy(w)
+	r.reportLoad(w)
 
 	return nil, nil //nolint:nilnil // It has no reply.
 }
 
-// home returns the instance that counts a target's calls, and false when there is none to ask.
+// home returns the instance that counts a target's calls, and false if there is none or it is in backoff.
 func (r *Reserver) home(t *enroller.Target) (gossiper.Member, bool) {
-	if len(r.members.Live()) < leastInstances {
+	if len(r.members.Live()) < minInstances {
 		return gossiper.Member{}, false
 	}
 
@@ -184,13 +187,13 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
-	s, ok := r.silent[h.ID]
+	s, ok := r.silentSince[h.ID]
 
-	return h, !ok || time.Since(s) >= silentFor
+	return h, !ok || time.Since(s) >= homeBackoff
 }
 
-// next returns a number that no reservation of this process had.
-func (r *Reserver) next() uint64 {
+// nextNumber returns a number that is unique among the reservations of this process.
+func (r *Reserver) nextNumber() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
@@ -199,25 +202,25 @@
 	return r.number
 }
 
-// ask asks a home. One that gives no answer in time is not asked again for a while: an
-// instance that stands still takes connections, and each call for one of its targets would
-// wait for it.
-func (r *Reserver) ask(c context.Context, h gossiper.Member, q tallier.Request) tallier.Verdict {
+// request requests a slot from a home. A home that does not reply in time gets no further requests for
+// homeBackoff: a stalled instance still accepts connections, and each call for one of its targets would
+// wait for the time-out.
+func (r *Reserver) request(c context.Context, h gossiper.Member, q aggregator.Request) aggregator.Verdict {
 	type reply struct {
 		room wire.Room
 		err  error
 	}
 
-	x, stop := context.WithTimeout(c, askTimeout)
+	x, stop := context.WithTimeout(c, reserveTimeout)
 	defer stop()
 
 	w := wire.Reserve{
-		Target: uint32(q.Target), Number: q.ID.Number, Most: uint32(max(q.Most, 0)), //nolint:gosec // Small.
-		WithinMs: uint32(max(time.Until(q.Until), 0).Milliseconds()), Usual: hundredths(q.Usual), Anyway: q.Anyway, //nolint:gosec // Small.
+		Target: uint32(q.Target), Number: q.ID.Number, Most: uint32(max(q.MaxCalls, 0)), //nolint:gosec // Small.
+		WithinMs: uint32(max(time.Until(q.Deadline), 0).Milliseconds()), Usual: hundredths(q.MedianLatency), Anyway: q.AllowExcluded, //nolint:gosec // Small.
 	}
 
-	// Another message that waits for a connection to the same instance would hold this
-	// one up for longer than its own time.
+	// The call runs in a goroutine, since it may block beyond its time-out while another message waits
+	// for a connection to the same instance.
 	l := make(chan reply, 1)
 
 	go func() {
@@ -236,58 +239,58 @@
 
 	switch {
 	case c.Err() != nil:
-		return tallier.Verdict{} // The caller left; it says nothing of the home.
+		return aggregator.Verdict{} // The caller disconnected, which says nothing about the home.
 	case o.err != nil:
-		r.noteSilent(h, o.err)
+		r.markSilent(h, o.err)
 
-		return tallier.Verdict{}
+		return aggregator.Verdict{}
 	default:
-		return tallier.Verdict{Outcome: tallier.Outcome(o.room.Outcome), Calls: int(o.room.Calls), Pace: part(o.room.Pace)}
+		return aggregator.Verdict{Outcome: aggregator.Outcome(o.room.Outcome), Calls: int(o.room.Calls), Latency: fraction(o.room.Pace)}
 	}
 }
 
-// noteSilent notes that a home gave no answer, and forgets those of long ago.
-func (r *Reserver) noteSilent(h gossiper.Member, err error) {
+// markSilent records that a home did not reply, and drops expired records.
+func (r *Reserver) markSilent(h gossiper.Member, err error) {
 	n := time.Now()
 
 	r.mu.Lock()
 
-	for id, s := range r.silent {
-		if n.Sub(s) >= silentFor {
-			delete(r.silent, id)
+	for id, s := range r.silentSince {
+		if n.Sub(s) >= homeBackoff {
+			delete(r.silentSince, id)
 		}
 	}
 
-	r.silent[h.ID] = n
+	r.silentSince[h.ID] = n
 	r.mu.Unlock()
 
 	logrus.WithFields(logrus.Fields{"event": "homeSilent", "peer": h.Address, "error": err}).Info()
 }
 
-// count counts a call at a target whose home this instance is.
-func (r *Reserver) count(q tallier.Request) tallier.Verdict {
+// reserve handles a request for a slot at a target whose home this instance is.
+func (r *Reserver) reserve(q aggregator.Request) aggregator.Verdict {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
-	return r.tallier.Reserve(time.Now(), q)
+	return r.aggregator.Reserve(time.Now(), q)
 }
 
-func (r *Reserver) release(n enroller.Name, id tallier.ID, s tallier.Sign, pace float64) {
+func (r *Reserver) release(n enroller.Name, id aggregator.ID, s aggregator.Result, latency float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
-	r.tallier.Release(time.Now(), n, id, s, pace)
+	r.aggregator.Release(time.Now(), n, id, s, latency)
 }
 
-func (r *Reserver) occupy(w wire.Occupancy) {
+func (r *Reserver) reportLoad(w wire.Occupancy) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
-	r.tallier.Report(time.Now(), enroller.Name(w.Target), int(w.Calls))
+	r.aggregator.Report(time.Now(), enroller.Name(w.Target), int(w.Calls))
 }
 
-// send sends a message in the background. One that is lost is made good by the time after
-// which a reservation ends, and by the next word of the target.
+// send sends a message in the background. A lost release is repaired by the deadline of the reservation,
+// and a lost load report by the next one.
 func (r *Reserver) send(h gossiper.Member, k wire.Kind, m msgp.Marshaler) {
 	go func() {
 		c, stop := context.WithTimeout(context.Background(), sendTimeout)
@@ -299,12 +302,12 @@
 	}()
 }
 
-// hundredths returns a part as it is sent.
-func hundredths(part float64) uint32 {
-	return uint32(min(max(part, 0)*whole, math.MaxUint32))
+// hundredths encodes a fraction for the wire.
+func hundredths(fraction float64) uint32 {
+	return uint32(min(max(fraction, 0)*fractionUnits, math.MaxUint32))
 }
 
-// part returns what was sent as hundredths.
-func part(hundredths uint32) float64 {
-	return float64(hundredths) / whole
+// fraction decodes a number of hundredths from the wire.
+func fraction(hundredths uint32) float64 {
+	return float64(hundredths) / fractionUnits
 }
--- a/internal/reserver/reserver_test.go
+++ b/internal/reserver/reserver_test.go
@@ -13,27 +13,28 @@
 	"github.com/sirupsen/logrus"
 	"github.com/tinylib/msgp/msgp"
 
+	"github.com/auburntray/auburntray/internal/aggregator"
 	"github.com/auburntray/auburntray/internal/enroller"
 	"github.com/auburntray/auburntray/internal/gossiper"
 	"github.com/auburntray/auburntray/internal/reserver"
-	"github.com/auburntray/auburntray/internal/tallier"
 	"github.com/auburntray/auburntray/internal/wire"
 )
 
-// fleet joins instances without a network.
+// fleet connects instances without a network.
 type fleet struct {
 	members   []gossiper.Member
 	instances []*reserver.Reserver
-	// home is the number of the instance that is the home of all targets.
+	// home is the index of the instance that is the home of all targets.
 	home int
-	// fail are instances that refuse connections, and still are those that take messages
-	// and answer none.
-	fail, still map[int]bool
-	asked       int
+	// failed are instances that refuse connections, and stalled are those that accept messages but
+	// don't reply.
+	failed, stalled map[int]bool
+	// requests is the number of requests for a slot.
+	requests int
 }
 
 func newFleet(number int) *fleet {
-	f := &fleet{fail: make(map[int]bool), still: make(map[int]bool)}
+	f := &fleet{failed: make(map[int]bool), stalled: make(map[int]bool)}
 
 	for n := range number {
 		f.members = append(f.members, gossiper.Member{
@@ -45,7 +46,7 @@
 	return f
 }
 
-// view is the fleet as one instance sees it.
+// view is the fleet as seen by one instance.
 type view struct {
 	*fleet
 
@@ -59,16 +60,16 @@
 
 func (v view) Call(c context.Context, a netip.AddrPort, _ wire.Kind, q msgp.Marshaler, r msgp.Unmarshaler) error {
 	n := v.at(a)
-	v.asked++
+	v.requests++
 
-	if v.still[n] {
+	if v.stalled[n] {
 		<-c.Done()
 
 		return c.Err()
 	}
 
-	if v.fail[n] {
-		return errors.New("refused")
+	if v.failed[n] {
+		return errors.New("connection refused")
 	}
 
 	b, err := q.MarshalMsg(nil)
@@ -76,7 +77,7 @@
 		return err
 	}
 
-	m, err := v.instances[n].Reserved(c, v.Self().ID, b)
+	m, err := v.instances[n].HandleReserve(c, v.Self().ID, b)
 	if err != nil {
 		return err
 	}
@@ -97,9 +98,9 @@
 		return err
 	}
 
-	h := v.instances[v.at(a)].Vacated
+	h := v.instances[v.at(a)].HandleVacate
 	if k == wire.KindOccupancy {
-		h = v.instances[v.at(a)].Occupied
+		h = v.instances[v.at(a)].HandleOccupancy
 	}
 
 	_, err = h(c, v.Self().ID, b)
@@ -111,188 +112,188 @@
 	return slices.IndexFunc(v.members, func(m gossiper.Member) bool { return m.Address == a })
 }
 
-// request asks for room where there may be so many calls.
-func request(most int) tallier.Request {
-	return tallier.Request{Most: most, Until: time.Now().Add(time.Minute)}
+// request returns a request with a bound on the calls at the target.
+func request(most int) aggregator.Request {
+	return aggregator.Request{MaxCalls: most, Deadline: time.Now().Add(time.Minute)}
 }
 
-// roster returns a list of one target.
-func roster() *enroller.Roster {
+// registry returns a registry with one target.
+func registry() *enroller.Roster {
 	e := enroller.New(enroller.DefaultSettings())
 	e.Set(enroller.Target{ID: "t", Group: "g", DataCentre: "dc", Slots: 2, Address: netip.MustParseAddrPort("10.1.0.1:80")})
 
 	return e.Roster()
 }
 
-// Two instances send to one target that both believe to be idle: together they must not give
-// it more calls than it may have, wherever its home is.
-func TestInstancesGoByOneCount(t *testing.T) {
-	for name, home := range map[string]int{"at a third": 2, "at the first itself": 0} {
+// Guards against instances that together exceed the bound of a target that each considers idle, whether
+// its home is one of them or another instance.
+func TestInstancesShareOneCount(t *testing.T) {
+	for name, home := range map[string]int{"third instance": 2, "requesting instance": 0} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				i := is.New(t)
 				f := newFleet(20)
 				f.home = home
-				x := roster().Known["t"]
+				x := registry().Known["t"]
 
 				a, end := f.instances[0].Reserve(t.Context(), x, request(2))
 				b, _ := f.instances[1].Reserve(t.Context(), x, request(2))
-				i.Equal(a, tallier.Verdict{Outcome: tallier.Granted, Calls: 1})
-				i.Equal(b, tallier.Verdict{Outcome: tallier.Granted, Calls: 2})
+				i.Equal(a, aggregator.Verdict{Outcome: aggregator.Granted, Calls: 1})
+				i.Equal(b, aggregator.Verdict{Outcome: aggregator.Granted, Calls: 2})
 
 				c, none := f.instances[1].Reserve(t.Context(), x, request(2))
-				i.Equal(c, tallier.Verdict{Outcome: tallier.Full, Calls: 2})
-				none(tallier.Nothing, 0)
+				i.Equal(c, aggregator.Verdict{Outcome: aggregator.Full, Calls: 2})
+				none(aggregator.NoResult, 0)
 
-				end(tallier.Well, 0.5)
+				end(aggregator.Answered, 0.5)
 				synctest.Wait()
 
 				c, _ = f.instances[1].Reserve(t.Context(), x, request(2))
-				i.Equal(c, tallier.Verdict{Outcome: tallier.Granted, Calls: 2})
+				i.Equal(c, aggregator.Verdict{Outcome: aggregator.Granted, Calls: 2})
 
 				f.instances[1].Report(x, 5)
 				synctest.Wait()
 
 				c, _ = f.instances[0].Reserve(t.Context(), x, request(2))
-				i.Equal(c.Outcome, tallier.Full)
+				i.Equal(c.Outcome, aggregator.Full)
 
 				f.instances[home].Forget(enroller.New(enroller.DefaultSettings()).Roster())
 
 				c, _ = f.instances[0].Reserve(t.Context(), x, request(2))
-				i.Equal(c.Outcome, tallier.Granted)
+				i.Equal(c.Outcome, aggregator.Granted)
 			})
 		})
 	}
 }
 
-// The home of a target stands still or has died. A call waits for it no longer than a moment,
-// and those after it not at all, until it is tried again.
-func TestSilentHomeHoldsUpOneCall(t *testing.T) {
+// Guards against calls that wait for a home that has stalled or crashed. One call waits until the
+// time-out, and those after it not at all until the end of the backoff.
+func TestSilentHomeDelaysOneCall(t *testing.T) {
 	logrus.SetLevel(logrus.FatalLevel)
 
 	for name, tc := range map[string]struct {
-		fail, still bool
-		waits       time.Duration
+		failed, stalled bool
+		wait            time.Duration
 	}{
-		"stands still": {still: true, waits: 30 * time.Millisecond},
-		"has died":     {fail: true},
+		"stalled": {stalled: true, wait: 30 * time.Millisecond},
+		"crashed": {failed: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				i := is.New(t)
 				f := newFleet(20)
 				f.home = 2
-				f.fail[2], f.still[2] = tc.fail, tc.still
-				x := roster().Known["t"]
+				f.failed[2], f.stalled[2] = tc.failed, tc.stalled
+				x := registry().Known["t"]
 
 				for range 3 {
 					b := time.Now()
 					v, end := f.instances[0].Reserve(t.Context(), x, request(2))
-					end(tallier.Well, 0.5)
+					end(aggregator.Answered, 0.5)
 
-					i.Equal(v, tallier.Verdict{})
-					i.True(time.Since(b) <= tc.waits)
+					i.Equal(v, aggregator.Verdict{})
+					i.True(time.Since(b) <= tc.wait)
 				}
 
 				synctest.Wait()
-				i.Equal(f.asked, 1)
+				i.Equal(f.requests, 1)
 
-				f.fail[2], f.still[2] = false, false
+				f.failed[2], f.stalled[2] = false, false
 
 				time.Sleep(time.Second)
 
 				v, _ := f.instances[0].Reserve(t.Context(), x, request(2))
-				i.Equal(v.Outcome, tallier.Granted)
+				i.Equal(v.Outcome, aggregator.Granted)
 			})
 		})
 	}
 }
 
-// What the calls of several instances showed of a target is known to whoever asks next, also
-// how long it takes to begin an answer.
-func TestInstancesGoByOneWord(t *testing.T) {
-	for name, home := range map[string]int{"at a third": 2, "at the first itself": 0} {
+// Guards against an instance that gets a slot at a target whose calls from other instances failed, or
+// that is not told the target's latency.
+func TestInstancesShareHealthStatus(t *testing.T) {
+	for name, home := range map[string]int{"third instance": 2, "requesting instance": 0} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				i := is.New(t)
 				f := newFleet(20)
 				f.home = home
-				x := roster().Known["t"]
+				x := registry().Known["t"]
 
 				for n := range 3 {
 					_, end := f.instances[n].Reserve(t.Context(), x, request(9))
-					end(tallier.Failed, 0.25)
+					end(aggregator.Failed, 0.25)
 					synctest.Wait()
 				}
 
 				v, none := f.instances[4].Reserve(t.Context(), x, request(9))
-				i.Equal(v, tallier.Verdict{Outcome: tallier.Left, Pace: 0.25})
-				none(tallier.Nothing, 0)
+				i.Equal(v, aggregator.Verdict{Outcome: aggregator.Excluded, Latency: 0.25})
+				none(aggregator.NoResult, 0)
 
 				q := request(9)
-				q.Anyway = true
+				q.AllowExcluded = true
 				v, _ = f.instances[4].Reserve(t.Context(), x, q)
-				i.Equal(v.Outcome, tallier.Granted)
+				i.Equal(v.Outcome, aggregator.Granted)
 			})
 		})
 	}
 }
 
-// A caller that leaves while its call waits for a home says nothing about the home.
-func TestCallerThatLeavesIsNotHeldAgainstAHome(t *testing.T) {
+// Guards against a home that is put in backoff because a caller disconnected while its call waited.
+func TestDisconnectedCallerCausesNoBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		i := is.New(t)
 		f := newFleet(20)
 		f.home = 2
-		f.still[2] = true
-		x := roster().Known["t"]
+		f.stalled[2] = true
+		x := registry().Known["t"]
 
-		c, leave := context.WithCancel(t.Context())
-		leave()
+		c, cancel := context.WithCancel(t.Context())
+		cancel()
 
 		v, _ := f.instances[0].Reserve(c, x, request(2))
-		i.Equal(v, tallier.Verdict{})
+		i.Equal(v, aggregator.Verdict{})
 
 		synctest.Wait()
 
-		f.still[2] = false
+		f.stalled[2] = false
 
 		v, _ = f.instances[0].Reserve(t.Context(), x, request(2))
-		i.Equal(v.Outcome, tallier.Granted)
+		i.Equal(v.Outcome, aggregator.Granted)
 	})
 }
 
-// A few instances know of each other's calls at once, and ask nobody. The home of a data centre
-// without an instance is no home.
-func TestWhereThereIsNoHome(t *testing.T) {
+// Guards against needless requests: few instances learn of each other's calls fast enough without a home,
+// and an instance in another data centre is no home.
+func TestTargetsWithoutHome(t *testing.T) {
 	i := is.New(t)
-	x := roster().Known["t"]
+	x := registry().Known["t"]
 
 	f := newFleet(15)
 	v, end := f.instances[0].Reserve(t.Context(), x, request(2))
-	end(tallier.Well, 0.5)
-	i.Equal(v, tallier.Verdict{})
+	end(aggregator.Answered, 0.5)
+	i.Equal(v, aggregator.Verdict{})
 
 	f = newFleet(20)
 	f.members[0].DataCentre = "other"
 	v, _ = f.instances[1].Reserve(t.Context(), x, request(2))
-	i.Equal(v, tallier.Verdict{})
-	i.Equal(f.asked, 0)
+	i.Equal(v, aggregator.Verdict{})
+	i.Equal(f.requests, 0)
 }
 
-// What is no message of this kind, or a part of one, is refused and changes nothing.
-func TestMessagesThatCannotBeRead(t *testing.T) {
+// Guards against invalid or truncated messages that are accepted.
+func TestInvalidMessages(t *testing.T) {
 	i := is.New(t)
 	f := newFleet(20)
 
 	for _, b := range [][]byte{nil, {0xc1}, {0x94, 0x01}} {
-		_, err := f.instances[0].Reserved(t.Context(), 1, b)
+		_, err := f.instances[0].HandleReserve(t.Context(), 1, b)
 		i.True(errors.Is(err, reserver.ErrReservation))
 
-		_, err = f.instances[0].Vacated(t.Context(), 1, b)
+		_, err = f.instances[0].HandleVacate(t.Context(), 1, b)
 		i.True(errors.Is(err, reserver.ErrReservation))
 
-		_, err = f.instances[0].Occupied(t.Context(), 1, b)
+		_, err = f.instances[0].HandleOccupancy(t.Context(), 1, b)
 		i.True(errors.Is(err, reserver.ErrReservation))
 	}
 }
--- a/internal/router/parts.go
+++ b/internal/router/parts.go
@@ -97,7 +97,7 @@
 
 func granterSettings(s resolver.Router) granter.Settings {
 	g := granter.DefaultSettings()
-	g.PlaceBytes = s.PlaceBytes
+	g.PlacementBytes = s.PlaceBytes
 
 	return g
 }
--- a/internal/seeker/replay_test.go
+++ b/internal/seeker/replay_test.go
@@ -8,9 +8,9 @@
 
 	"github.com/matryer/is"
 
+	"github.com/auburntray/auburntray/internal/aggregator"
 	"github.com/auburntray/auburntray/internal/enroller"
 	"github.com/auburntray/auburntray/internal/seeker"
-	"github.com/auburntray/auburntray/internal/tallier"
 )
 
 const (
@@ -30,7 +30,7 @@
 
 // call is a call of a caller that came at a time.
 type call struct {
-	id       tallier.ID
+	id       aggregator.ID
 	came     time.Time
 	returned bool
 }
@@ -61,7 +61,7 @@
 type replay struct {
 	random  *rand.Rand
 	bounded bool
-	tallier *tallier.Tallier
+	tallier *aggregator.Aggregator
 	events  events
 	running [services]int
 	waiting [services][]call
@@ -79,7 +79,7 @@
 		for range clump {
 			r.calls++
 			at := time.Unix(1000, 0).Add(d)
-			r.events = append(r.events, event{at: at, call: call{id: tallier.ID{Number: uint64(r.calls)}, came: at}})
+			r.events = append(r.events, event{at: at, call: call{id: aggregator.ID{Number: uint64(r.calls)}, came: at}})
 		}
 	}
 
@@ -97,7 +97,7 @@
 			n = least(known)
 		}
 
-		v := r.tallier.Reserve(now, tallier.Request{ID: c.id, Target: enroller.Name(n), Most: s.Most(slots), Until: now.Add(time.Minute)})
+		v := r.tallier.Reserve(now, aggregator.Request{ID: c.id, Target: enroller.Name(n), MaxCalls: s.Most(slots), Deadline: now.Add(time.Minute)})
 		known[n] = v.Calls
 
 		switch s.Next(v.Outcome) {
@@ -133,7 +133,7 @@
 	case ok && len(r.waiting[n]) < line:
 		r.waiting[n] = append(r.waiting[n], e.call)
 	default:
-		r.tallier.Release(e.at, enroller.Name(n), e.call.id, tallier.Nothing, 0)
+		r.tallier.Release(e.at, enroller.Name(n), e.call.id, aggregator.NoResult, 0)
 		r.refuse(e)
 	}
 }
@@ -161,7 +161,7 @@
 	}
 
 	r.running[e.service]--
-	r.tallier.Release(e.at, enroller.Name(e.service), e.call.id, tallier.Nothing, 0)
+	r.tallier.Release(e.at, enroller.Name(e.service), e.call.id, aggregator.NoResult, 0)
 
 	if l := r.waiting[e.service]; len(l) > 0 {
 		r.waiting[e.service] = l[1:]
@@ -171,7 +171,7 @@
 
 // earned plays calls at a rate a second and returns the part of their worth that is earned.
 func earned(bounded bool, rate float64) float64 {
-	r := &replay{random: rand.New(rand.NewPCG(1, 2)), bounded: bounded, tallier: tallier.New()}
+	r := &replay{random: rand.New(rand.NewPCG(1, 2)), bounded: bounded, tallier: aggregator.New()}
 	r.come(rate)
 
 	for len(r.events) > 0 {
--- a/internal/seeker/seeker.go
+++ b/internal/seeker/seeker.go
@@ -7,7 +7,7 @@
 // run 0.6 of their worth was earned. A bound on the lines keeps those in time that are run.
 package seeker
 
-import "github.com/auburntray/auburntray/internal/tallier"
+import "github.com/auburntray/auburntray/internal/aggregator"
 
 const (
 	// maxAsked is how many homes are asked for room at a target that runs the call at once, a
@@ -60,13 +60,13 @@
 func (s *Seeker) Anyway() bool { return s.left >= maxLeft }
 
 // Next takes what a home said and returns what the call does.
-func (s *Seeker) Next(o tallier.Outcome) Step {
+func (s *Seeker) Next(o aggregator.Outcome) Step {
 	last := s.last()
 
 	switch o {
-	case tallier.Full:
+	case aggregator.Full:
 		s.full++
-	case tallier.Left:
+	case aggregator.Excluded:
 		s.left++
 	default:
 		// Granted, no answer, or one of a newer release that is not known here: asking on
@@ -77,7 +77,7 @@
 	switch {
 	case !last && (!s.Prompt || !s.last()):
 		return Ask
-	case s.Prompt || o == tallier.Left:
+	case s.Prompt || o == aggregator.Excluded:
 		// It has to go somewhere, and its bound is no promise of the target's.
 		return Take
 	default:
--- a/internal/selector/call.go
+++ b/internal/selector/call.go
@@ -86,7 +86,7 @@
 // ReportPace applies the pace of a target that its home instance measured over the calls of all instances.
 func (c *Selector) ReportPace(t *enroller.Target, fraction float64) {
 	if c.state(t).isCurrent(t) {
-		c.health.paces.Learn(t.Key(), fraction)
+		c.health.paces.SetLatency(t.Key(), fraction)
 	}
 }
 
--- a/internal/selector/cold.go
+++ b/internal/selector/cold.go
@@ -29,7 +29,7 @@
 	f := sync.OnceValue(c.fleet)
 
 	return filter(l, func(x candidate) bool {
-		return !x.cold || c.throttler.Room(now, x.target.Key(), q.ColdRate, f)
+		return !x.cold || c.throttler.Allow(now, x.target.Key(), q.ColdRate, f)
 	})
 }
 
@@ -47,7 +47,7 @@
 // counts even if the home instance of the target declines it afterwards.
 func (c *Selector) recordSent(now time.Time, x candidate) {
 	if x.cold {
-		c.throttler.Sent(now, x.target.Key())
+		c.throttler.RecordSent(now, x.target.Key())
 	}
 
 	c.suppressor.Sent(now, x.target.Key())
--- a/internal/selector/cold_replay_test.go
+++ b/internal/selector/cold_replay_test.go
@@ -39,7 +39,7 @@
 		for _, id := range live {
 			x := &instance{
 				chooser: selector.New(selector.DefaultSettings()),
-				fleet:   throttler.Fleet{Self: id, Live: live, Most: most, Settled: true},
+				fleet:   throttler.Fleet{Self: id, Live: live, MaxInstances: most, Settled: true},
 			}
 			x.chooser.Throttle(throttler.Settings{Coverage: 1.5, Slack: 5}, func() throttler.Fleet { return x.fleet })
 			o = append(o, x)
@@ -91,7 +91,7 @@
 func withNewcomers(l []*instance, more ...*instance) []*instance {
 	for k, x := range l {
 		if k%2 == 0 || len(more) > 0 {
-			x.fleet = throttler.Fleet{Self: x.fleet.Self, Live: []uint64{x.fleet.Self}, Most: 1}
+			x.fleet = throttler.Fleet{Self: x.fleet.Self, Live: []uint64{x.fleet.Self}, MaxInstances: 1}
 		}
 	}
 
--- a/internal/selector/health.go
+++ b/internal/selector/health.go
@@ -5,7 +5,7 @@
 
 	"github.com/auburntray/auburntray/internal/ejector"
 	"github.com/auburntray/auburntray/internal/enroller"
-	"github.com/auburntray/auburntray/internal/pacer"
+	"github.com/auburntray/auburntray/internal/evaluator"
 )
 
 const (
@@ -32,7 +32,7 @@
 	failing *ejector.Ejector[enroller.Key]
 	// gone tracks targets whose address belongs to another process.
 	gone  *ejector.Ejector[enroller.Key]
-	paces *pacer.Pacer[enroller.Key]
+	paces *evaluator.Evaluator[enroller.Key]
 	// reportedAt is when a target was last reported as unhealthy by its home instance.
 	reportedAt map[enroller.Key]time.Time
 	// lastResorts is when a call was last spent on a group without reachable targets.
@@ -46,15 +46,15 @@
 	return &health{
 		// A single failed connection is sufficient, since other targets are a millisecond away. A retry costs
 		// a few milliseconds, so the exclusions are short.
-		targets: ejector.New[enroller.Key](ejector.Settings{Failures: 1, Base: 500 * time.Millisecond, Max: 4 * time.Second, PanicPart: 1}),
+		targets: ejector.New[enroller.Key](ejector.Settings{Failures: 1, Base: 500 * time.Millisecond, Max: 4 * time.Second, PanicThreshold: 1}),
 		// In a data centre that is cut off, each target would cost a call a dial time-out. Two consecutive
 		// failures exclude the whole data centre.
-		centres: ejector.New[uint32](ejector.Settings{Failures: 2, Base: 500 * time.Millisecond, Max: 2 * time.Second, PanicPart: 1}),
-		failing: ejector.New[enroller.Key](ejector.Settings{Failures: 3, Base: time.Second, Max: maxFailingExclusion, PanicPart: 0.5}),
+		centres: ejector.New[uint32](ejector.Settings{Failures: 2, Base: 500 * time.Millisecond, Max: 2 * time.Second, PanicThreshold: 1}),
+		failing: ejector.New[enroller.Key](ejector.Settings{Failures: 3, Base: time.Second, Max: maxFailingExclusion, PanicThreshold: 0.5}),
 		// A replaced process does not return, and its entry lapses seconds later. It is retried in case the
 		// answer was wrong.
-		gone:        ejector.New[enroller.Key](ejector.Settings{Failures: 1, Base: goneExclusion, Max: goneExclusion, PanicPart: 1}),
-		paces:       pacer.New[enroller.Key](),
+		gone:        ejector.New[enroller.Key](ejector.Settings{Failures: 1, Base: goneExclusion, Max: goneExclusion, PanicThreshold: 1}),
+		paces:       evaluator.New[enroller.Key](),
 		reportedAt:  make(map[enroller.Key]time.Time),
 		lastResorts: make(map[string]time.Time),
 		excluded:    make(map[exclusion]bool),
@@ -73,18 +73,18 @@
 
 	// If most targets fail, the fault is more likely at this instance.
 	if !h.panicMode(now, r) {
-		r = filterOrAll(r, func(x candidate) bool { return !h.failing.Out(now, x.target.Key()) })
+		r = filterOrAll(r, func(x candidate) bool { return !h.failing.Excluded(now, x.target.Key()) })
 	}
 
 	r = filterOrAll(r, func(x candidate) bool { return !h.reportedUnhealthy(now, x.target) })
 
-	usual = h.paces.Usual(keys(r))
+	usual = h.paces.MedianLatency(keys(r))
 
 	return reached, filterOrAll(r, func(x candidate) bool { return !h.slow(now, x.target, usual) }), usual
 }
 
 func (h *health) reachable(now time.Time, l []candidate) []candidate {
-	return filter(l, func(x candidate) bool { return h.isReachable(now, x.target) && !h.gone.Out(now, x.target.Key()) })
+	return filter(l, func(x candidate) bool { return h.isReachable(now, x.target) && !h.gone.Excluded(now, x.target.Key()) })
 }
 
 // reportedUnhealthy reports whether the home instance recently reported a target as unhealthy.
@@ -101,7 +101,7 @@
 
 // panicMode reports whether so many candidates fail that none is excluded for it.
 func (h *health) panicMode(now time.Time, l []candidate) bool {
-	return h.failing.Panic(now, keys(l))
+	return h.failing.PanicMode(now, keys(l))
 }
 
 func keys(l []candidate) []enroller.Key {
@@ -117,26 +117,26 @@
 // also records the change of health status.
 func (h *health) slow(now time.Time, t *enroller.Target, usual float64) bool {
 	n := t.Key()
-	if h.paces.Pace(n) == 0 {
+	if h.paces.Latency(n) == 0 {
 		return false
 	}
 
 	x := h.paces.Slow(n, usual)
 	h.setExcluded(Own, TargetSlow, t, x)
 
-	return x && h.paces.Tried(now, n)
+	return x && h.paces.ProbedRecently(now, n)
 }
 
 // observePace records how long an answer took to begin, as a fraction of the time within which it is fully
 // useful.
 func (h *health) observePace(now time.Time, t *enroller.Target, fraction float64) {
 	n := t.Key()
-	h.paces.Begun(n, fraction)
+	h.paces.RecordAnswer(n, fraction)
 
 	// The beginning of the answer completes a probe call. Waiting for the end of its stream would keep the
 	// target excluded for seconds more.
-	if h.failing.Out(now, n) {
-		h.failing.Result(now, n, true)
+	if h.failing.Excluded(now, n) {
+		h.failing.RecordResult(now, n, true)
 		h.setExcluded(Own, TargetFailing, t, false)
 	}
 }
@@ -160,14 +160,14 @@
 func (h *health) healthy(now time.Time, t *enroller.Target) bool {
 	n := t.Key()
 
-	return h.isReachable(now, t) && !h.failing.Out(now, n) && !h.gone.Out(now, n)
+	return h.isReachable(now, t) && !h.failing.Excluded(now, n) && !h.gone.Excluded(now, n)
 }
 
 // failureSigns counts the signs that a target itself accepts no calls.
 func (h *health) failureSigns(now time.Time, t *enroller.Target) int {
 	o := 0
 
-	for _, excluded := range []bool{h.targets.Out(now, t.Key()), h.gone.Out(now, t.Key()), h.failing.Out(now, t.Key())} {
+	for _, excluded := range []bool{h.targets.Excluded(now, t.Key()), h.gone.Excluded(now, t.Key()), h.failing.Excluded(now, t.Key())} {
 		if excluded {
 			o++
 		}
@@ -177,14 +177,14 @@
 }
 
 func (h *health) isReachable(now time.Time, t *enroller.Target) bool {
-	return !h.targets.Out(now, t.Key()) && !h.centres.Out(now, t.Centre())
+	return !h.targets.Excluded(now, t.Key()) && !h.centres.Excluded(now, t.Centre())
 }
 
 func (h *health) start(now time.Time, t *enroller.Target) {
-	h.targets.Probe(now, t.Key())
-	h.centres.Probe(now, t.Centre())
-	h.failing.Probe(now, t.Key())
-	h.paces.Started(now, t.Key())
+	h.targets.StartProbe(now, t.Key())
+	h.centres.StartProbe(now, t.Centre())
+	h.failing.StartProbe(now, t.Key())
+	h.paces.RecordCall(now, t.Key())
 }
 
 func (h *health) finish(now time.Time, t *enroller.Target, o Outcome) {
@@ -192,48 +192,48 @@
 
 	switch o {
 	case Unreachable:
-		h.targets.Result(now, n, false)
-		h.centres.Result(now, c, false)
+		h.targets.RecordResult(now, n, false)
+		h.centres.RecordResult(now, c, false)
 	case Crashed:
 		// A crash is no sign of a network partition. Counted as one, targets that crash one after the other
 		// would exclude the healthy ones of their data centre for half a second each time.
-		h.targets.Result(now, n, false)
-		h.centres.Result(now, c, true)
+		h.targets.RecordResult(now, n, false)
+		h.centres.RecordResult(now, c, true)
 	case Failed:
-		h.failing.Result(now, n, false)
+		h.failing.RecordResult(now, n, false)
 	case Gone:
-		h.gone.Result(now, n, false)
-		h.centres.Result(now, c, true)
+		h.gone.RecordResult(now, n, false)
+		h.centres.RecordResult(now, c, true)
 	case Answered:
-		h.failing.Result(now, n, true)
-		h.targets.Result(now, n, true)
-		h.centres.Result(now, c, true)
-		h.gone.Result(now, n, true)
+		h.failing.RecordResult(now, n, true)
+		h.targets.RecordResult(now, n, true)
+		h.centres.RecordResult(now, c, true)
+		h.gone.RecordResult(now, n, true)
 	case Shed:
-		h.targets.Result(now, n, true)
-		h.centres.Result(now, c, true)
+		h.targets.RecordResult(now, n, true)
+		h.centres.RecordResult(now, c, true)
 	case Inconclusive:
 		// An inconclusive probe call permits the next one.
-		h.targets.Abandon(n)
-		h.centres.Abandon(c)
-		h.failing.Abandon(n)
+		h.targets.CancelProbe(n)
+		h.centres.CancelProbe(c)
+		h.failing.CancelProbe(n)
 
 		return
 	}
 
-	h.setExcluded(Own, TargetUnreachable, t, h.targets.Out(now, n))
-	h.setExcluded(Own, CentreUnreachable, t, h.centres.Out(now, c))
-	h.setExcluded(Own, TargetFailing, t, h.failing.Out(now, n))
-	h.setExcluded(Own, TargetGone, t, h.gone.Out(now, n))
+	h.setExcluded(Own, TargetUnreachable, t, h.targets.Excluded(now, n))
+	h.setExcluded(Own, CentreUnreachable, t, h.centres.Excluded(now, c))
+	h.setExcluded(Own, TargetFailing, t, h.failing.Excluded(now, n))
+	h.setExcluded(Own, TargetGone, t, h.gone.Excluded(now, n))
 }
 
 // reportGone records another instance's notification that a target's address belongs to another process.
 func (h *health) reportGone(now time.Time, t *enroller.Target) {
-	if h.gone.Out(now, t.Key()) {
+	if h.gone.Excluded(now, t.Key()) {
 		return
 	}
 
-	h.gone.Result(now, t.Key(), false)
+	h.gone.RecordResult(now, t.Key(), false)
 	h.setExcluded(Peer, TargetGone, t, true)
 }
 
--- a/internal/selector/selector.go
+++ b/internal/selector/selector.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"github.com/auburntray/auburntray/internal/confiner"
 	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/sharder"
 	"github.com/auburntray/auburntray/internal/suppressor"
 	"github.com/auburntray/auburntray/internal/throttler"
 )
@@ -152,7 +152,7 @@
 func New(s Settings) *Selector {
 	c := &Selector{settings: s, states: make(map[enroller.Key]*state), departed: make(departures), health: newHealth(), placements: newPlacements(), suppressor: suppressor.New[enroller.Key]()}
 	c.Throttle(throttler.DefaultSettings(), func() throttler.Fleet {
-		return throttler.Fleet{Live: []uint64{0}, Most: 1, Settled: true}
+		return throttler.Fleet{Live: []uint64{0}, MaxInstances: 1, Settled: true}
 	})
 
 	return c
@@ -168,7 +168,7 @@
 func (c *Selector) Choose(now time.Time, r *enroller.Roster, group string, q Query) (Choice, bool) {
 	g := r.Groups[group]
 	if q.Sharded {
-		g = confiner.Part(q.Customer, g)
+		g = sharder.Shard(q.Customer, g)
 	}
 
 	all := c.candidates(now, r, g, &q)
--- a/internal/selector/state.go
+++ b/internal/selector/state.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
+	"github.com/auburntray/auburntray/internal/aggregator"
 	"github.com/auburntray/auburntray/internal/enroller"
-	"github.com/auburntray/auburntray/internal/tallier"
 )
 
 // shedAvoidance is how long a target that refused a call is avoided. It is about the time in which a full
@@ -23,13 +23,13 @@
 	shedAt  time.Time
 	// lastReport is the latest load report of the target to any instance. Its base is the value of running at
 	// that time.
-	lastReport tallier.Word
+	lastReport aggregator.LoadReport
 }
 
 // load estimates the calls of all instances at a target from its latest load report to any instance and the
 // calls that this instance has started and finished since.
 func (s *state) load(now time.Time) float64 {
-	return float64(s.lastReport.Load(now, s.running))
+	return float64(s.lastReport.Estimate(now, s.running))
 }
 
 // report records a load report and reports whether it was used. Reports that are not newer than the last one,
@@ -39,7 +39,7 @@
 		return false
 	}
 
-	s.lastReport = tallier.Word{Calls: load, Base: s.running, At: at}
+	s.lastReport = aggregator.LoadReport{Calls: load, Base: s.running, At: at}
 
 	return true
 }
--- /dev/null
+++ b/internal/sharder/sharder_test.go
@@ -0,0 +1,104 @@
+package sharder_test
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/sharder"
+)
+
+func targets(n int) []*enroller.Target {
+	e := enroller.New(enroller.DefaultSettings())
+	for i := range n {
+		e.Set(enroller.Target{ID: fmt.Sprintf("t%d", i), Group: "g"})
+	}
+
+	return e.Roster().Groups["g"]
+}
+
+// Guards against sharding without need, which moves customers away from their cached prompts: it requires
+// targets that crash one after the other, not simultaneous crashes or those of a few of many targets.
+func TestSharded(t *testing.T) {
+	for name, x := range map[string]struct {
+		targets, crashed int
+		interval         time.Duration
+		after            time.Duration
+		want             bool
+	}{
+		"none":                {targets: 18},
+		"one after the other": {targets: 18, crashed: 8, interval: 500 * time.Millisecond, want: true},
+		"in quick succession": {targets: 18, crashed: 12, interval: 250 * time.Millisecond, want: true},
+		"simultaneous":        {targets: 18, crashed: 18},
+		"two of four":         {targets: 4, crashed: 2, interval: time.Second},
+		"four of four":        {targets: 4, crashed: 4, interval: time.Second, want: true},
+		"a quarantined call":  {targets: 6, crashed: 3, interval: time.Second},
+		"few of many":         {targets: 192, crashed: 20, interval: 400 * time.Millisecond},
+		"outside the window":  {targets: 18, crashed: 8, interval: 500 * time.Millisecond, after: 10 * time.Second},
+		"far apart":           {targets: 18, crashed: 18, interval: 5 * time.Second},
+	} {
+		t.Run(name, func(t *testing.T) {
+			i := is.New(t)
+			c := sharder.New()
+			l := targets(x.targets)
+			now := time.Unix(0, 0)
+
+			for _, k := range l[:x.crashed] {
+				c.RecordCrash(now, k)
+				c.RecordCrash(now.Add(time.Second), k) // Another instance reports the same crash.
+				now = now.Add(x.interval)
+			}
+
+			now = now.Add(x.after)
+			i.Equal(c.Sharded(now, "g", x.targets), x.want)
+			i.Equal(c.Sharded(now, "other", x.targets), false)
+		})
+	}
+}
+
+// Guards against shards that overlap too much, so that one customer crashes most targets of another, and
+// against shards that change much when a target is removed.
+func TestShard(t *testing.T) {
+	i := is.New(t)
+	l := targets(18)
+
+	in := func(x *enroller.Target, l []*enroller.Target) bool {
+		for _, y := range l {
+			if y.ID == x.ID {
+				return true
+			}
+		}
+
+		return false
+	}
+
+	first := sharder.Shard(1, l)
+	i.Equal(len(first), 6)
+	i.Equal(len(sharder.Shard(1, targets(1))), 1)
+	i.Equal(len(sharder.Shard(1, nil)), 0)
+
+	shared := 0
+
+	for c := uint64(2); c < 1000; c++ {
+		for _, x := range sharder.Shard(c, l) {
+			if in(x, first) {
+				shared++
+			}
+		}
+	}
+
+	i.True(shared < 998*6*4/10) // The expected overlap is a third.
+
+	kept := 0
+
+	for _, x := range sharder.Shard(1, targets(17)) {
+		if in(x, first) {
+			kept++
+		}
+	}
+
+	i.True(kept >= 5)
+}
--- a/internal/throttler/throttler.go
+++ b/internal/throttler/throttler.go
@@ -1,13 +1,14 @@
-// Package throttler decides how many calls an instance may send to a cold target: a process that
-// has just started, or has lost its caches, and ends when it is given many more calls than it bears.
+// Package throttler limits the rate of calls that an instance sends to a cold target: a process that has
+// just started, or has lost its caches, and crashes when it gets calls far above its sustainable rate.
 //
-// Load pattern: half of the engines come back together while callers send twice their usual. Every
-// instance sees the same idle targets and sends them what it has; within a second each gets several
-// times what it bears. The bound is one for all instances together, and in that second they can
-// neither ask each other nor trust what they know of each other.
+// Load pattern: half of the engines restart together while callers send twice the usual load. All instances
+// see the same idle targets and send their calls there, so that within a second each target gets several
+// times its sustainable rate. The limit applies to all instances together, and within that second they can
+// neither coordinate nor rely on their information about each other.
 //
-// Each instance therefore has a share of its own that needs no word from another: so many calls
-// where instances are few, and where they are many one call at a few instances, drawn by the target.
+// Each instance therefore has a share of the rate that it computes without messages: several calls per
+// second if there are few instances; and if there are many, one call per second at a few of them, which
+// are selected by a hash of the target.
 package throttler
 
 import (
@@ -17,87 +18,89 @@
 	"github.com/auburntray/auburntray/internal/hasher"
 )
 
-// Settings say by how much the calls that reach a cold target in a second may exceed its rate.
+// Settings bound the calls per second that reach a cold target, relative to its sustainable rate.
 type Settings struct {
-	// Coverage is the multiple of the rate that is allowed, and Slack so many calls more.
+	// Coverage is the multiple of the rate that is allowed, and Slack a number of calls allowed in
+	// addition. Shares don't use the slack, see Share.
 	Coverage, Slack float64
 }
 
-// DefaultSettings returns those for a platform that names none: the rate itself.
+// DefaultSettings returns the settings for a platform that configures none: the rate itself without slack.
 func DefaultSettings() Settings {
 	return Settings{Coverage: 1}
 }
 
-// Fleet is what an instance knows of all instances.
+// Fleet is an instance's information about all instances.
 type Fleet struct {
-	// Self is its own ID, and Live are those of the live instances, its own too.
+	// Self is the instance's own ID, and Live are the IDs of the live instances including its own.
 	Self uint64
 	Live []uint64
-	// Most is the largest number of instances seen for long. Those that are missing since may be
-	// on the other side of a cut, and have their shares there.
-	Most int
-	// Settled says that it has run for long enough to know the others.
+	// MaxInstances is the largest number of instances seen over a longer time. Those missing since may be on the
+	// other side of a network partition and use their shares there.
+	MaxInstances int
+	// Settled reports that the instance has run long enough to know the others.
 	Settled bool
 }
 
-// window is the second in which calls are counted, and what two calls may come closer to each other
-// on their way to the target.
+// window is the time for which a call counts: the second to which the rate applies, and 200 ms by which the
+// distance of two calls may shrink on the way to the target.
 const window = time.Second + 200*time.Millisecond
 
-// Throttler counts this instance's calls at cold targets. It is not safe for concurrent use.
+// Throttler counts the calls that this instance sends to cold targets. It is not safe for concurrent use.
 type Throttler struct {
 	settings Settings
-	// sent are the moments of the calls of the last window.
+	// sent are the times of the calls in the last window, in ascending order.
 	sent map[enroller.Key][]time.Time
-	// shares are this instance's of late.
+	// shares caches this instance's shares for shareLifetime.
 	shares map[enroller.Key]share
 }
 
-// share is an instance's share of the calls at a process, worked out at a moment.
+// share is an instance's share of the calls to a process, with the time of its computation.
 type share struct {
-	calls int
-	at    time.Time
+	calls      int
+	computedAt time.Time
 }
 
-// shareFor is how long a share stands. Working it out takes a hash of each live instance, and when
-// hundreds of targets are cold each call asks for all of them.
-const shareFor = time.Second
+// shareLifetime is how long a computed share is used. The computation hashes the ID of each live instance,
+// and while hundreds of targets are cold, each call requires the shares of all of them.
+const shareLifetime = time.Second
 
-// New returns a Throttler that knows of no call.
+// New returns a Throttler without calls.
 func New(s Settings) *Throttler {
 	return &Throttler{settings: s, sent: make(map[enroller.Key][]time.Time), shares: make(map[enroller.Key]share)}
 }
 
-// Set replaces the settings.
+// Set replaces the settings and recomputes the shares with them.
 func (t *Throttler) Set(s Settings) {
 	t.settings = s
 	clear(t.shares)
 }
 
-// Room says whether a call may be sent now to a cold process that bears so many a second.
-func (t *Throttler) Room(now time.Time, k enroller.Key, rate float64, f func() Fleet) bool {
+// Allow reports whether a call may be sent now to a cold process with a sustainable rate in calls per
+// second. It calls f only if the share must be computed.
+func (t *Throttler) Allow(now time.Time, k enroller.Key, rate float64, f func() Fleet) bool {
 	x, ok := t.shares[k]
-	if !ok || now.Sub(x.at) >= shareFor {
-		x = share{calls: t.settings.Share(k, rate, f()), at: now}
+	if !ok || now.Sub(x.computedAt) >= shareLifetime {
+		x = share{calls: t.settings.Share(k, rate, f()), computedAt: now}
 		t.shares[k] = x
 	}
 
 	return t.count(now, k) < x.calls
 }
 
-// Sent takes that a call is sent to a cold process.
-func (t *Throttler) Sent(now time.Time, k enroller.Key) {
+// RecordSent records that a call is sent to a cold process.
+func (t *Throttler) RecordSent(now time.Time, k enroller.Key) {
 	t.count(now, k)
 	t.sent[k] = append(t.sent[k], now)
 }
 
-// Forget drops what is known of a process.
+// Forget drops the calls and the share of a process.
 func (t *Throttler) Forget(k enroller.Key) {
 	delete(t.sent, k)
 	delete(t.shares, k)
 }
 
-// count returns how many calls were sent to a process in the last window.
+// count returns the number of calls sent to a process in the last window, and drops earlier ones.
 func (t *Throttler) count(now time.Time, k enroller.Key) int {
 	l := t.sent[k]
 
@@ -115,33 +118,33 @@
 	return len(l)
 }
 
-// Share returns how many calls in a second an instance may send to a cold process that bears so
-// many a second.
+// Share returns the number of calls per second that an instance may send to a cold process with a
+// sustainable rate in calls per second.
 //
-// All shares together are at most the allowed multiple of the rate. The slack beyond it is left for
-// instances that do not know yet that the target is cold. Of a fleet that was cut in two, each side
-// draws in proportion to its size. An instance that has just started knows nobody and would take
-// itself for the only one, so it has no share.
+// The sum of all shares is at most the rate times Coverage. The slack beyond it is reserved for instances
+// that don't know yet that the target is cold. In a partitioned fleet, each side uses a part of the rate in
+// proportion to its size. An instance that has just started knows no others and would consider itself the
+// only one; its share is zero.
 func (s Settings) Share(k enroller.Key, rate float64, f Fleet) int {
 	if !f.Settled {
 		return 0
 	}
 
-	all := rate * s.Coverage
-	most := max(f.Most, len(f.Live), 1)
+	total := rate * s.Coverage
+	most := max(f.MaxInstances, len(f.Live), 1)
 
-	if n := int(all / float64(most)); n > 0 {
+	if n := int(total / float64(most)); n > 0 {
 		return n
 	}
 
-	if f.rank(k) < int(all*float64(len(f.Live))/float64(most)) {
+	if f.rank(k) < int(total*float64(len(f.Live))/float64(most)) {
 		return 1
 	}
 
 	return 0
 }
 
-// rank returns how many live instances come before this one in a process's order.
+// rank returns the number of live instances before this one in the rendezvous order of a process.
 func (f Fleet) rank(k enroller.Key) int {
 	own := hasher.Score(uint64(k), f.Self, 1)
 	o := 0
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -355,7 +355,7 @@
 	Anyway   bool
 }
 
-// Room answers a Reserve: what became of it, as tallier.Outcome counts, how many calls the
+// Room answers a Reserve: what became of it, as aggregator.Outcome counts, how many calls the
 // target has, and how long it takes to begin an answer, in hundredths as in Reserve, zero
 // when that is not known.
 type Room struct {
@@ -365,7 +365,7 @@
 }
 
 // Vacate ends the reservation of that number. Sign is what the call showed of the target, as
-// tallier.Sign counts, and Pace how long its answer took to begin, in hundredths as in
+// aggregator.Sign counts, and Pace how long its answer took to begin, in hundredths as in
 // Reserve, zero when it did not begin.
 type Vacate struct {
 	Target uint32
