--- a/internal/commander/gateway.go
+++ b/internal/commander/gateway.go
@@ -125,8 +125,8 @@
 		{"ready", a.Ready == b.Ready},
 		{"peers", a.Peers == b.Peers},
 		{"mostLoad", a.MostLoad == b.MostLoad},
-		{"within", a.Within == b.Within},
-		{"link", a.Link == b.Link},
+		{"within", a.ApplyWithin == b.ApplyWithin},
+		{"link", a.LinkRate == b.LinkRate},
 	} {
 		if !f.same {
 			o = append(o, f.name)
@@ -139,9 +139,9 @@
 func gatewaySettings(s platform.Settings) gatekeeper.Settings {
 	return gatekeeper.Settings{
 		Name: s.Name, DataCentre: s.DataCentre, Callers: s.Callers, Ready: s.Ready, Peers: s.Peers, Region: s.Region,
-		Regions: s.Regions, MostLoad: s.MostLoad, Within: s.Within, Link: s.Link,
+		Regions: s.Regions, MostLoad: s.MostLoad, ApplyWithin: s.Within, LinkRate: s.Link,
 		Tunables: gatekeeper.Tunables{
-			Seeds: s.Seeds, Stop: s.Stop,
+			Seeds: s.Seeds, StopTimeout: s.Stop,
 			Retries: budgeter.Settings{Ratio: s.RetryRatio, Window: s.RetryWindow, Slack: s.RetrySlack},
 			Cold:    throttler.Settings{Coverage: s.ColdCoverage, Slack: s.ColdSlack},
 		},
--- a/internal/commander/gateway_test.go
+++ b/internal/commander/gateway_test.go
@@ -76,7 +76,7 @@
 		want   string
 	}{
 		"nothing":     {change: func(*gatekeeper.Settings) {}},
-		"a tunable":   {change: func(s *gatekeeper.Settings) { s.Stop = time.Second }},
+		"a tunable":   {change: func(s *gatekeeper.Settings) { s.StopTimeout = time.Second }},
 		"data centre": {change: func(s *gatekeeper.Settings) { s.DataCentre = "b" }, want: "dataCentre"},
 		"two": {change: func(s *gatekeeper.Settings) {
 			s.Name, s.Callers = "front-2", netip.MustParseAddrPort("127.0.0.1:2")
--- a/internal/commander/held.go
+++ b/internal/commander/held.go
@@ -80,14 +80,14 @@
 
 	q := quarantiner.New(quarantiner.DefaultSettings())
 	n := time.Now()
-	q.Learn(n, l)
+	q.Merge(n, l)
 
 	for _, r := range l {
-		v := q.Look(n, r.Call)
+		v := q.Peek(n, r.Call)
 
-		_, _ = fmt.Fprintf(w, "digest=%v standing=%v ends=%d last=%v came=%v", r.Call, v.Standing, v.Ends, ago(n, v.Last), ago(n, r.Seen))
-		if v.Back > 0 {
-			_, _ = fmt.Fprintf(w, " triedIn=%v", v.Back.Round(time.Second))
+		_, _ = fmt.Fprintf(w, "digest=%v standing=%v ends=%d last=%v came=%v", r.Call, v.Status, v.Crashes, ago(n, v.LastCrash), ago(n, r.LastSeen))
+		if v.TrialIn > 0 {
+			_, _ = fmt.Fprintf(w, " triedIn=%v", v.TrialIn.Round(time.Second))
 		}
 
 		_, _ = fmt.Fprintln(w)
--- a/internal/evacuator/evacuator.go
+++ b/internal/evacuator/evacuator.go
@@ -1,9 +1,9 @@
-// Package evacuator decides which data centres take no new calls since operators have them
-// evacuated, and since when those take calls again that were.
+// Package evacuator tracks which data centres are evacuated by operators, and so accept no new calls,
+// and when former evacuations ended.
 //
-// Load pattern: a data centre with a quarter of all targets empties within a second while
-// callers send more than usual. Whatever chooses targets must leave all of its targets out at
-// once, also where nothing else is left.
+// Load pattern: a data centre with a quarter of all targets is emptied within a second while callers
+// send more than usual. The selection of targets must exclude all of its targets at once, even if no
+// others remain.
 package evacuator
 
 import (
@@ -11,22 +11,22 @@
 	"time"
 )
 
-// State is what stands at one moment. Nothing in it changes; it is safe for concurrent use.
+// State is an immutable snapshot of the evacuations. It is safe for concurrent use.
 type State struct {
-	// Begun is since when each data centre is evacuated, by this instance's clock.
+	// Begun maps each evacuated data centre to the start of its evacuation, by this instance's clock.
 	Begun map[string]time.Time
-	// Ended is when the last evacuation of each other data centre was over.
+	// Ended maps each other data centre to the end of its last evacuation, for endedRetention.
 	Ended map[string]time.Time
 }
 
-// Stands says that a data centre is evacuated.
-func (s *State) Stands(centre string) bool {
+// Evacuated reports whether a data centre is evacuated.
+func (s *State) Evacuated(centre string) bool {
 	_, ok := s.Begun[centre]
 
 	return ok
 }
 
-// Evacuator follows evacuations. It is not safe for concurrent use.
+// Evacuator records evacuations. It is not safe for concurrent use.
 type Evacuator struct {
 	state *State
 }
@@ -36,18 +36,18 @@
 	return &Evacuator{state: &State{}}
 }
 
-// State returns what stands now. It is the same until something changes.
+// State returns the current snapshot, which is replaced only by a change.
 func (e *Evacuator) State() *State {
 	return e.state
 }
 
-// Begin takes that a data centre is evacuated, and says whether that is new.
+// Begin records that a data centre is evacuated, and reports whether it was not before.
 func (e *Evacuator) Begin(now time.Time, centre string) bool {
-	if e.state.Stands(centre) {
+	if e.state.Evacuated(centre) {
 		return false
 	}
 
-	s := e.copy(now)
+	s := e.prunedCopy(now)
 	s.Begun[centre] = now
 	delete(s.Ended, centre)
 	e.state = s
@@ -55,15 +55,15 @@
 	return true
 }
 
-// End takes that a data centre is evacuated no more. It returns how long it was, and false when
-// it was not.
+// End records that the evacuation of a data centre is over. It returns its duration, and false if the
+// data centre was not evacuated.
 func (e *Evacuator) End(now time.Time, centre string) (time.Duration, bool) {
 	b, ok := e.state.Begun[centre]
 	if !ok {
 		return 0, false
 	}
 
-	s := e.copy(now)
+	s := e.prunedCopy(now)
 	delete(s.Begun, centre)
 	s.Ended[centre] = now
 	e.state = s
@@ -71,16 +71,17 @@
 	return now.Sub(b), true
 }
 
-// endedFor is how long the end of an evacuation is remembered, longer than targets are cold.
-const endedFor = time.Hour
+// endedRetention is how long the end of an evacuation is remembered, longer than targets are cold.
+const endedRetention = time.Hour
 
-// copy returns the state without what ended long ago: the names of data centres may be anybody's.
-func (e *Evacuator) copy(now time.Time) *State {
+// prunedCopy returns a copy of the state without expired ends. The names of data centres come from
+// records that anyone may write, so they must not accumulate.
+func (e *Evacuator) prunedCopy(now time.Time) *State {
 	s := &State{Begun: make(map[string]time.Time), Ended: make(map[string]time.Time)}
 	maps.Copy(s.Begun, e.state.Begun)
 
 	for c, t := range e.state.Ended {
-		if now.Sub(t) < endedFor {
+		if now.Sub(t) < endedRetention {
 			s.Ended[c] = t
 		}
 	}
--- a/internal/evacuator/evacuator_test.go
+++ b/internal/evacuator/evacuator_test.go
@@ -9,28 +9,28 @@
 	"github.com/auburntray/auburntray/internal/evacuator"
 )
 
-// Guards against evacuations of several data centres that end each other, and against a state that
-// changes under a reader.
+// Guards against evacuations of several data centres that end each other, and against a snapshot that
+// changes while it is read.
 func TestEvacuations(t *testing.T) {
 	i := is.New(t)
 	e := evacuator.New()
 	n := time.Unix(0, 0)
 
 	i.True(e.Begin(n, "a"))
-	i.True(!e.Begin(n.Add(time.Second), "a")) // Told again, it stands since before.
+	i.True(!e.Begin(n.Add(time.Second), "a")) // A repeated begin keeps the first start.
 
 	s := e.State()
 
 	i.True(e.Begin(n.Add(2*time.Second), "b"))
-	i.True(!s.Stands("b"))
-	i.True(e.State().Stands("a"))
-	i.True(e.State().Stands("b"))
+	i.True(!s.Evacuated("b"))
+	i.True(e.State().Evacuated("a"))
+	i.True(e.State().Evacuated("b"))
 
 	d, ok := e.End(n.Add(5*time.Second), "a")
 	i.True(ok)
 	i.Equal(d, 5*time.Second)
-	i.True(!e.State().Stands("a"))
-	i.True(e.State().Stands("b"))
+	i.True(!e.State().Evacuated("a"))
+	i.True(e.State().Evacuated("b"))
 	i.Equal(e.State().Ended["a"], n.Add(5*time.Second))
 
 	_, ok = e.End(n.Add(6*time.Second), "a")
@@ -41,8 +41,8 @@
 	i.Equal(e.State(), e.State())
 }
 
-// Guards against a memory that grows with each name of a data centre that was ever evacuated.
-func TestEndsAreForgotten(t *testing.T) {
+// Guards against memory that grows with each name of a data centre that was ever evacuated.
+func TestEndedEvacuationsExpire(t *testing.T) {
 	i := is.New(t)
 	e := evacuator.New()
 	n := time.Unix(0, 0)
--- a/internal/filterer/isolate.go
+++ b/internal/filterer/isolate.go
@@ -56,7 +56,7 @@
 		return nil
 	}
 
-	return exchanger.Refuse(http.StatusServiceUnavailable, exchanger.CodeHeldBack, v.Wait(), "%s", v.Reason(time.Now()))
+	return exchanger.Refuse(http.StatusServiceUnavailable, exchanger.CodeHeldBack, v.RetryAfter(), "%s", v.Reason(time.Now()))
 }
 
 // letOut says whether a call may be sent to a target now.
@@ -91,7 +91,7 @@
 		v := i.Quarantine.Ended(x.Digest, process(x.Target, time.Now()))
 
 		logrus.WithFields(logrus.Fields{
-			"event": "targetEnded", "request": x.ID, "digest": x.Digest, "target": x.Target.Name, "ends": v.Ends, "standing": v.Standing,
+			"event": "targetEnded", "request": x.ID, "digest": x.Digest, "target": x.Target.Name, "ends": v.Crashes, "standing": v.Status,
 		}).Warn()
 	}
 }
--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -299,7 +299,7 @@
 	return f.chooser.Views(time.Now(), f.state.Registry())
 }
 
-// ReportGone applies a notification from another instance that processes of targets are gone.
+// MarkGone applies a notification from another instance that processes of targets are gone.
 func (f *Forwarder) MarkGone(l []enroller.Process) {
 	f.mu.Lock()
 
--- a/internal/forwarder/quarantine.go
+++ b/internal/forwarder/quarantine.go
@@ -47,7 +47,7 @@
 	case x.request.Context().Err() != nil:
 		return errCallerLeft
 	default:
-		return refuse(http.StatusServiceUnavailable, Quarantined, v.Wait(), "%s", v.Reason(time.Now()))
+		return refuse(http.StatusServiceUnavailable, Quarantined, v.RetryAfter(), "%s", v.Reason(time.Now()))
 	}
 }
 
@@ -96,7 +96,7 @@
 	f.mu.Unlock()
 
 	logrus.WithFields(x.logFields()).WithFields(logrus.Fields{
-		"event": "targetEnded", "target": t.ID, "address": t.Address, "ends": v.Ends, "standing": v.Standing,
+		"event": "targetEnded", "target": t.ID, "address": t.Address, "ends": v.Crashes, "standing": v.Status,
 	}).Warn()
 
 	return true
@@ -104,7 +104,7 @@
 
 // RecordCrashes applies a notification from another instance that processes of targets crashed while
 // running calls.
-func (f *Forwarder) RecordCrashes(l []quarantiner.End) {
+func (f *Forwarder) RecordCrashes(l []quarantiner.Crash) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
--- a/internal/forwarder/quarantine_test.go
+++ b/internal/forwarder/quarantine_test.go
@@ -29,7 +29,7 @@
 
 func newQuarantine(crashes int) *fakeQuarantine {
 	s := quarantiner.DefaultSettings()
-	s.Ends, s.Apart = crashes, 0
+	s.CrashThreshold, s.MinSeparation = crashes, 0
 
 	return &fakeQuarantine{q: quarantiner.New(s)}
 }
@@ -39,10 +39,10 @@
 	defer x.mu.Unlock()
 
 	x.received = append(x.received, d)
-	v := x.q.Come(time.Now(), d)
+	v := x.q.Check(time.Now(), d)
 	x.probes++
 
-	return v, v.Standing != quarantiner.Held, func() {
+	return v, v.Status != quarantiner.Quarantined, func() {
 		x.mu.Lock()
 		defer x.mu.Unlock()
 
@@ -55,7 +55,7 @@
 	defer x.mu.Unlock()
 
 	x.crashed = append(x.crashed, p)
-	v, _ := x.q.Ended(time.Now(), d, p)
+	v, _ := x.q.RecordCrash(time.Now(), d, p)
 
 	return v
 }
@@ -65,7 +65,7 @@
 	defer x.mu.Unlock()
 
 	x.served++
-	x.q.Served(d)
+	x.q.RecordServed(d)
 }
 
 // Guards against a call that its caller repeats and that crashes each target that runs it. After
--- a/internal/forwarder/sharding_test.go
+++ b/internal/forwarder/sharding_test.go
@@ -13,7 +13,7 @@
 )
 
 // Guards against one customer that crashes all targets by sending a new fatal call every quarter of
-// a second, each of which is recognised too late. When other instances report crashes one after the
+// a second, each of which is detected too late. When other instances report crashes one after the
 // other, each customer must be limited to its shard of the targets.
 func TestCrashesStartShuffleSharding(t *testing.T) {
 	for name, x := range map[string]struct {
@@ -34,13 +34,13 @@
 			g := newGateway(t, l...)
 			now := time.Now()
 
-			var crashes []quarantiner.End
+			var crashes []quarantiner.Crash
 
 			for n, k := range g.state.Registry().Groups["g"] {
-				crashes = append(crashes, quarantiner.End{Process: k.Key().Name(), At: now.Add(time.Duration(n-9) * x.every)})
+				crashes = append(crashes, quarantiner.Crash{Process: k.Key().Name(), At: now.Add(time.Duration(n-9) * x.every)})
 			}
 
-			g.forwarder.RecordCrashes(append(crashes, quarantiner.End{Process: 1, At: now}))
+			g.forwarder.RecordCrashes(append(crashes, quarantiner.Crash{Process: 1, At: now}))
 
 			// Distinct prompts spread the calls over all targets that they may use.
 			for n := range 200 {
--- /dev/null
+++ b/internal/gatekeeper/config_handler.go
@@ -0,0 +1,64 @@
+package gatekeeper
+
+import (
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"github.com/auburntray/auburntray/internal/cataloger"
+	"github.com/auburntray/auburntray/internal/watcher"
+)
+
+// configHandler applies the configurations read from the stream. It is not safe for concurrent
+// use; a single watcher.Watcher calls it.
+type configHandler struct {
+	state    *state
+	key      string
+	decode   func([]byte) (cataloger.Document, error)
+	refusals *refusalReporter
+	// afterRefused is the offset after the last refused record.
+	afterRefused int64
+}
+
+var _ watcher.Sink = (*configHandler)(nil)
+
+// Reset implements watcher.Sink. Older configurations are recognized by their version.
+func (s *configHandler) Reset(l []watcher.Record, _ int64) error {
+	for _, r := range l {
+		s.Change(r)
+	}
+
+	return nil
+}
+
+// Change implements watcher.Sink. An invalid configuration is skipped; the one in force remains.
+func (s *configHandler) Change(r watcher.Record) {
+	if r.Key != s.key || len(r.Value) == 0 {
+		return
+	}
+
+	d, err := s.decode(r.Value)
+	if err == nil {
+		var c *cataloger.Catalog
+
+		if c, err = cataloger.New(d); err == nil {
+			s.state.applyCatalog(c, r)
+
+			return
+		}
+	}
+
+	// The newest record of the key is contained in each full list.
+	if r.Offset < s.afterRefused {
+		return
+	}
+
+	s.afterRefused = r.Offset + 1
+	s.refusals.report(err, logrus.Fields{"event": "catalogRefused", "version": d.Version, "offset": r.Offset})
+}
+
+// Read implements watcher.Sink.
+func (s *configHandler) Read(time.Duration) { s.refusals.flush() }
+
+// Failed implements watcher.Sink.
+func (s *configHandler) Failed(error) {}
--- a/internal/gatekeeper/config_sink_test.go
+++ b/internal/gatekeeper/config_handler_test.go
@@ -14,25 +14,25 @@
 	"github.com/auburntray/auburntray/internal/watcher"
 )
 
-// A user would be refused what was served a moment before: a record that can't be used is
-// written under the configuration's key. The version in force stands, and the record is told
-// once, though each whole list has it again.
-func TestConfigThatCannotBeUsed(t *testing.T) {
+// Guards against valid calls that are refused because an invalid record was written under the
+// configuration's key. The version in force remains, and the record is reported once although each
+// full list repeats it.
+func TestInvalidConfigIsSkipped(t *testing.T) {
 	for name, x := range map[string]struct {
 		value  string
 		reason string
 	}{
-		"not to be read":  {`{`, "unreadable"},
-		"a typed reason":  {`"wrong"`, "wrongType"},
+		"not decodable":   {`{`, "unreadable"},
+		"typed reason":    {`"wrong"`, "wrongType"},
 		"contradiction":   {`{"Version":9,"Groups":[{"Name":"g"},{"Name":"g"}]}`, "contradiction"},
-		"of great length": {`{"Version":9,"Groups":[{"Name":"g"}],"Rules":[{"Name":"` + strings.Repeat("r", 10_000) + `"}]}`, "contradiction"},
+		"very long error": {`{"Version":9,"Groups":[{"Name":"g"}],"Rules":[{"Name":"` + strings.Repeat("r", 10_000) + `"}]}`, "contradiction"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
 			h := hearer.New(t)
-			f, c := newFacts(), counts{}
-			f.dropped = func(*enroller.Roster) {}
-			s := &configSink{facts: f, key: "config", refusals: &refusals{stream: "config", counter: c}, decode: func(b []byte) (cataloger.Document, error) {
+			f, c := newState(), counts{}
+			f.onRosterChange = func(*enroller.Roster) {}
+			s := &configHandler{state: f, key: "config", refusals: &refusalReporter{stream: "config", counter: c}, decode: func(b []byte) (cataloger.Document, error) {
 				if string(b) == `"wrong"` {
 					return cataloger.Document{Version: 9}, &watcher.Unusable{Fault: watcher.WrongType, Field: "routes"}
 				}
--- /dev/null
+++ b/internal/gatekeeper/evacuation_handler.go
@@ -0,0 +1,104 @@
+package gatekeeper
+
+import (
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"github.com/auburntray/auburntray/internal/evacuator"
+	"github.com/auburntray/auburntray/internal/watcher"
+)
+
+// evacuationHandler applies the evacuations that operators request. It is not safe for concurrent
+// use; a single watcher.Watcher calls it.
+type evacuationHandler struct {
+	state *state
+	// decode returns the data centre that a record evacuates, and false when the record is not an
+	// evacuation. The error describes the part of the record that can't be decoded.
+	decode   func(key string, b []byte) (centre string, ok bool, err error)
+	records  *seenRecords
+	refusals *refusalReporter
+}
+
+var _ watcher.Sink = (*evacuationHandler)(nil)
+
+// Reset implements watcher.Sink. It fails with errStaleList: an older list would end evacuations
+// that are still in force.
+func (s *evacuationHandler) Reset(l []watcher.Record, end int64) error {
+	var o []watcher.Record
+
+	for _, r := range l {
+		if _, ok, _ := s.decode(r.Key, r.Value); ok {
+			o = append(o, r)
+		}
+	}
+
+	n := newestOffsets(o)
+	if err := s.records.checkNotStale(n, end); err != nil {
+		return err
+	}
+
+	for k, m := range s.records.keys {
+		if _, ok := n[k]; !ok && m.outcome != deleted {
+			s.remove(watcher.Record{Key: k, Offset: m.offset})
+		}
+	}
+
+	for _, r := range o {
+		s.Change(r)
+	}
+
+	return nil
+}
+
+// Change implements watcher.Sink. A record whose value can't be decoded still starts an
+// evacuation: its key names the data centre, and calls sent there can't be recalled.
+func (s *evacuationHandler) Change(r watcher.Record) {
+	c, ok, err := s.decode(r.Key, r.Value)
+	if !ok || s.records.contains(r) {
+		return
+	}
+
+	if len(r.Value) == 0 {
+		s.remove(r)
+
+		return
+	}
+
+	if err != nil {
+		s.refusals.report(err, logrus.Fields{"event": "evacuationUnclear", "dataCentre": c, "offset": r.Offset})
+	}
+
+	if c == "" {
+		s.records.set(r.Key, seenRecord{offset: r.Offset, outcome: refused})
+
+		return
+	}
+
+	s.records.set(r.Key, seenRecord{offset: r.Offset, outcome: applied})
+	s.state.updateEvacuations(func(n time.Time, e *evacuator.Evacuator) {
+		if e.Begin(n, c) {
+			logrus.WithFields(logrus.Fields{"event": "evacuationBegun", "dataCentre": c, "offset": r.Offset}).Info()
+		}
+	})
+}
+
+// remove ends the evacuation of a deleted record.
+func (s *evacuationHandler) remove(r watcher.Record) {
+	s.records.set(r.Key, seenRecord{offset: r.Offset, outcome: deleted})
+
+	c, _, _ := s.decode(r.Key, nil)
+	s.state.updateEvacuations(func(n time.Time, e *evacuator.Evacuator) {
+		if d, ok := e.End(n, c); ok {
+			logrus.WithFields(logrus.Fields{
+				"event": "evacuationEnded", "dataCentre": c, "stood": d.Round(time.Millisecond), "offset": r.Offset,
+			}).Info()
+		}
+	})
+}
+
+// Read implements watcher.Sink.
+func (s *evacuationHandler) Read(time.Duration) { s.refusals.flush() }
+
+// Failed implements watcher.Sink.
+func (s *evacuationHandler) Failed(error) {}
--- a/internal/gatekeeper/evacuation_sink_test.go
+++ b/internal/gatekeeper/evacuation_handler_test.go
@@ -19,12 +19,13 @@
 	"github.com/auburntray/auburntray/internal/wire"
 )
 
-// evacuationsOf returns an evacuationSink whose keys begin with "e/"; the value "bad" can't be read.
-func evacuationsOf(f *facts) (*evacuationSink, counts) {
+// newTestEvacuationHandler returns an evacuationHandler whose keys begin with "e/"; the value "bad"
+// can't be decoded.
+func newTestEvacuationHandler(f *state) (*evacuationHandler, counts) {
 	c := counts{}
 
-	return &evacuationSink{
-		facts: f, marks: newMarks(), refusals: &refusals{stream: "config", counter: c},
+	return &evacuationHandler{
+		state: f, records: newSeenRecords(), refusals: &refusalReporter{stream: "config", counter: c},
 		decode: func(key string, b []byte) (string, bool, error) {
 			n, ok := strings.CutPrefix(key, "e/")
 			if ok && (string(b) == "bad" || n == "" && len(b) > 0) {
@@ -36,25 +37,26 @@
 	}, c
 }
 
-// centres returns facts with a target in each data centre, and one that drains.
-func centres(t *testing.T, names ...string) *facts {
+// stateWithCentres returns a state with a target in each data centre, and a draining one in the
+// first.
+func stateWithCentres(t *testing.T, names ...string) *state {
 	t.Helper()
 
-	f := newFacts()
-	f.dropped = func(*enroller.Roster) {}
+	f := newState()
+	f.onRosterChange = func(*enroller.Roster) {}
 
 	l := []enroller.Target{{ID: "leaving", Group: "g", DataCentre: names[0], Draining: true}}
 	for _, n := range names {
 		l = append(l, enroller.Target{ID: "t-" + n, Group: "g", DataCentre: n})
 	}
 
-	f.list(l, nil)
+	f.resetTargets(l, nil)
 
 	return f
 }
 
-// open returns the data centres whose targets take calls.
-func open(f *facts) string {
+// openCentres returns the data centres of the targets that accept calls.
+func openCentres(f *state) string {
 	var o []string
 	for _, t := range f.Registry().Groups["g"] {
 		o = append(o, t.DataCentre)
@@ -67,10 +69,10 @@
 	return watcher.Record{Key: key, Value: []byte("{}"), Offset: offset}
 }
 
-// Guards against evacuations that are lost, or brought back, by what happens to the stream.
+// Guards against evacuations that are lost or restored by deleted history and outdated lists.
 func TestEvacuationsFollowTheStream(t *testing.T) {
 	type step struct {
-		// change is one record, list a whole list up to an end.
+		// change is one record; list is a full list with its end.
 		change watcher.Record
 		list   []watcher.Record
 		end    int64
@@ -83,45 +85,45 @@
 			{change: put("e/a", 1), open: "b c"},
 			{change: watcher.Record{Key: "e/a", Offset: 2}, open: "a b c"},
 		},
-		"stands at a start": {
+		"in force at the start": {
 			{list: []watcher.Record{put("config", 0), put("e/b", 1)}, end: 2, open: "a c"},
 		},
-		"stands when the history is dropped": {
+		"in force when the history is deleted": {
 			{change: put("e/a", 1), open: "b c"},
 			{list: []watcher.Record{put("e/a", 1)}, end: 9, open: "b c"},
 		},
-		"ended while the history was dropped": {
+		"ended while the history was deleted": {
 			{change: put("e/a", 1), open: "b c"},
 			{list: []watcher.Record{put("config", 0)}, end: 9, open: "a b c"},
 		},
-		"an older list ends none": {
+		"an older list ends no evacuation": {
 			{change: put("e/a", 5), open: "b c"},
-			{list: []watcher.Record{put("config", 0)}, end: 4, err: errOlder, open: "b c"},
-			{list: []watcher.Record{put("e/a", 2)}, end: 9, err: errOlder, open: "b c"},
+			{list: []watcher.Record{put("config", 0)}, end: 4, err: errStaleList, open: "b c"},
+			{list: []watcher.Record{put("e/a", 2)}, end: 9, err: errStaleList, open: "b c"},
 		},
-		"an older list brings none back": {
+		"an older list restores no evacuation": {
 			{change: put("e/a", 1), open: "b c"},
 			{change: watcher.Record{Key: "e/a", Offset: 2}, open: "a b c"},
-			{list: []watcher.Record{put("e/a", 1)}, end: 9, err: errOlder, open: "a b c"},
+			{list: []watcher.Record{put("e/a", 1)}, end: 9, err: errStaleList, open: "a b c"},
 			{change: put("e/a", 1), open: "a b c"},
 		},
-		"two in turn": {
+		"two that overlap": {
 			{change: put("e/a", 1), open: "b c"},
 			{change: put("e/b", 2), open: "c"},
 			{change: watcher.Record{Key: "e/a", Offset: 3}, open: "a c"},
 			{change: watcher.Record{Key: "e/b", Offset: 4}, open: "a b c"},
 		},
-		"all": {
+		"all data centres": {
 			{list: []watcher.Record{put("e/a", 1), put("e/b", 2), put("e/c", 3)}, end: 4},
 			{change: watcher.Record{Key: "e/c", Offset: 5}, open: "c"},
 		},
-		"a data centre that nobody has": {
+		"a data centre without targets": {
 			{change: put("e/x", 1), open: "a b c"},
 		},
-		"one that can't be read": {
+		"an invalid record": {
 			{change: watcher.Record{Key: "e/a", Value: []byte("bad"), Offset: 1}, open: "b c"},
 		},
-		"of nothing": {
+		"no data centre": {
 			{change: put("e/", 1), open: "a b c"},
 			{change: put("e/a", 2), open: "b c"},
 		},
@@ -133,8 +135,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
-			f := centres(t, "a", "b", "c")
-			s, _ := evacuationsOf(f)
+			f := stateWithCentres(t, "a", "b", "c")
+			s, _ := newTestEvacuationHandler(f)
 
 			for _, x := range steps {
 				if x.end > 0 {
@@ -143,34 +145,34 @@
 					s.Change(x.change)
 				}
 
-				i.Equal(open(f), x.open)
+				i.Equal(openCentres(f), x.open)
 				i.Equal(len(f.Registry().Known), 4) // Prompts are fetched from all of them.
 			}
 		})
 	}
 }
 
-// Guards against a target that came while its data centre was evacuated, or that the catalog named
-// only then, and takes calls.
+// Guards against calls to a target that registered during the evacuation of its data centre, or
+// whose group entered the catalog only then.
 func TestWhatComesDuringAnEvacuationStaysClosed(t *testing.T) {
 	i := is.New(t)
-	f := centres(t, "a", "b")
-	s, _ := evacuationsOf(f)
+	f := stateWithCentres(t, "a", "b")
+	s, _ := newTestEvacuationHandler(f)
 	s.Change(put("e/a", 1))
 
-	f.update(func(_ time.Time, e *enroller.Enroller) {
+	f.updateTargets(func(_ time.Time, e *enroller.Enroller) {
 		e.Set(enroller.Target{ID: "new", Group: "g", DataCentre: "a"})
 	})
-	i.Equal(open(f), "b")
+	i.Equal(openCentres(f), "b")
 
 	c, err := cataloger.New(cataloger.Document{Version: 1, Groups: []cataloger.Group{{Name: "g"}}})
 	i.NoErr(err)
-	f.enforce(c, watcher.Record{})
-	i.Equal(open(f), "b")
+	f.applyCatalog(c, watcher.Record{})
+	i.Equal(openCentres(f), "b")
 	i.Equal(len(f.Registry().Closed["g"]), 2)
 }
 
-// running are calls by data centre.
+// running holds the number of calls by data centre.
 type running map[string]int
 
 func (r running) Running(centre string) int { return r[centre] }
@@ -179,28 +181,28 @@
 	return []selector.View{{Target: &enroller.Target{DataCentre: "a"}, Load: 2.6}, {Target: &enroller.Target{DataCentre: "b"}, Load: 9}}
 }
 
-// Guards against an operator who can't see when a data centre may be switched off.
-func TestLinesOfAnEvacuation(t *testing.T) {
+// Guards against log lines and replies that don't show when a data centre may be switched off.
+func TestEvacuationLogLines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		i := is.New(t)
 		h := hearer.New(t)
-		f := centres(t, "a", "b")
-		s, c := evacuationsOf(f)
+		f := stateWithCentres(t, "a", "b")
+		s, c := newTestEvacuationHandler(f)
 		r := running{"a": 2}
-		e := newEvacuations(f, r)
+		e := newEvacuationReporter(f, r)
 
 		s.Change(watcher.Record{Key: "e/a", Value: []byte("bad"), Offset: 1})
-		e.look()
+		e.reportEmptied()
 		time.Sleep(700 * time.Millisecond)
 		i.Equal(e.list(), []wire.Evacuation{{DataCentre: "a", AgeMs: 700, Targets: 1, Own: 2, All: 3}})
 
 		r["a"] = 0
 
-		e.look()
-		e.look()
+		e.reportEmptied()
+		e.reportEmptied()
 		time.Sleep(2 * time.Second)
 		s.Change(watcher.Record{Key: "e/a", Offset: 2})
-		e.look()
+		e.reportEmptied()
 
 		var l []string
 
--- a/internal/gatekeeper/gatekeeper.go
+++ b/internal/gatekeeper/gatekeeper.go
@@ -1,4 +1,4 @@
-// Package gatekeeper puts the parts of a gateway together and runs them.
+// Package gatekeeper assembles the components of a gateway instance and runs them.
 package gatekeeper
 
 import (
@@ -20,39 +20,39 @@
 	"github.com/auburntray/auburntray/internal/watcher"
 )
 
-// ErrStart means that the gateway could not start.
-var ErrStart = errors.New("the gateway can't start")
+// ErrStart marks failures to start the gateway.
+var ErrStart = errors.New("gateway failed to start")
 
-// Gatekeeper is one instance of a gateway. It is safe for concurrent use.
+// Gatekeeper is one gateway instance. It is safe for concurrent use.
 type Gatekeeper struct {
-	settings    Settings
-	facts       *facts
-	forwarder   *forwarder.Forwarder
-	evacuations *evacuations
-	drainer     *drainer.Drainer
-	messenger   *messenger.Messenger
-	joiner      *joiner.Joiner
-	informer    *informer.Informer
-	warner      *warner.Warner
-	watchers    []*watcher.Watcher
-	idler       *idler.Idler
-	callers     *http.Server
-	ready       *http.Server
-	metrics     *http.Server
-	group       sync.WaitGroup
-	end         context.CancelFunc
-	// stop is how long a planned stop may take, in nanoseconds.
-	stop atomic.Int64
+	settings      Settings
+	state         *state
+	forwarder     *forwarder.Forwarder
+	evacuations   *evacuationReporter
+	drainer       *drainer.Drainer
+	messenger     *messenger.Messenger
+	joiner        *joiner.Joiner
+	informer      *informer.Informer
+	warner        *warner.Warner
+	watchers      []*watcher.Watcher
+	idler         *idler.Idler
+	callerServer  *http.Server
+	readyServer   *http.Server
+	metricsServer *http.Server
+	background    sync.WaitGroup
+	cancel        context.CancelFunc
+	// stopTimeout is the time limit of a planned stop, in nanoseconds.
+	stopTimeout atomic.Int64
 }
 
-// Tune puts changed settings in force. Calls in progress go on.
+// Tune applies changed settings. Calls in progress are not affected.
 func (g *Gatekeeper) Tune(t Tunables) {
-	g.stop.Store(int64(t.Stop))
+	g.stopTimeout.Store(int64(t.StopTimeout))
 	g.joiner.SetSeeds(t.Seeds)
 	g.forwarder.SetRetryBudget(t.Retries)
 	g.forwarder.SetThrottle(t.Cold)
 	logrus.WithFields(logrus.Fields{
-		"event": "tuned", "seeds": len(t.Seeds), "stop": t.Stop,
+		"event": "tuned", "seeds": len(t.Seeds), "stop": t.StopTimeout,
 		"retryRatio": t.Retries.Ratio, "retryWindow": t.Retries.Window, "retrySlack": t.Retries.Slack,
 		"coldCoverage": t.Cold.Coverage, "coldSlack": t.Cold.Slack,
 	}).Info()
--- a/internal/gatekeeper/gatekeeper_test.go
+++ b/internal/gatekeeper/gatekeeper_test.go
@@ -29,11 +29,11 @@
 	"github.com/auburntray/auburntray/internal/watcher"
 )
 
-// stream is a stream in memory.
+// stream is an in-memory stream.
 type stream struct {
-	mu      sync.Mutex
-	records []watcher.Record
-	away    bool
+	mu          sync.Mutex
+	records     []watcher.Record
+	unavailable bool
 }
 
 func (s *stream) put(t *testing.T, key string, v any) {
@@ -60,8 +60,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	if s.away {
-		return nil, 0, errors.New("away")
+	if s.unavailable {
+		return nil, 0, errors.New("stream is unavailable")
 	}
 
 	return append([]watcher.Record(nil), s.records[from:]...), int64(len(s.records)), nil
@@ -78,12 +78,12 @@
 	}
 }
 
-// dialect is a way of speaking for the tests.
+// dialect is a minimal protocol for the tests.
 type dialect struct{}
 
 func (dialect) ReadCall(h http.Header) (forwarder.Call, error) {
 	if h.Get("Panic") != "" {
-		panic("a fault of the program")
+		panic("test panic")
 	}
 
 	return forwarder.Call{ID: h.Get("Id"), Key: h.Get("Key")}, nil
@@ -95,26 +95,26 @@
 	return forwarder.Reply{ID: h.Get("Id"), Sealed: true}
 }
 
-// site is one instance with its surroundings.
-type site struct {
+// fixture is one instance with its streams.
+type fixture struct {
 	config, targets *stream
 	callers, ready  string
 	app             *fx.App
 }
 
-func open(t *testing.T) *site {
+func start(t *testing.T) *fixture {
 	t.Helper()
 	logrus.SetLevel(logrus.PanicLevel)
 
-	s := &site{config: &stream{}, targets: &stream{}}
+	s := &fixture{config: &stream{}, targets: &stream{}}
 	a, b := porter.Free(t), porter.Free(t)
 	s.callers, s.ready = "http://"+a.String(), "http://"+b.String()
 	s.app = fx.New(gatekeeper.Options(gatekeeper.Settings{
 		Name: "front-1", DataCentre: "dc", Callers: a, Ready: b, Peers: porter.Free(t),
 		Tunables: gatekeeper.Tunables{
-			Stop: 8 * time.Second, Retries: budgeter.Settings{Ratio: 0.2, Window: time.Second, Slack: 10},
+			StopTimeout: 8 * time.Second, Retries: budgeter.Settings{Ratio: 0.2, Window: time.Second, Slack: 10},
 		},
-	}, gatekeeper.World{
+	}, gatekeeper.Environment{
 		Dialect: dialect{}, ReadyPath: "/ready", ConfigKey: "config", Config: s.config, Targets: s.targets,
 		DecodeConfig: func(b []byte) (cataloger.Document, error) {
 			var d cataloger.Document
@@ -145,7 +145,7 @@
 	return s
 }
 
-// get calls a path with an ID and a key, and returns the status and the body.
+// get calls a URL with an ID and a key, and returns the status, the body and the headers.
 func get(t *testing.T, url string) (int, string, http.Header) {
 	t.Helper()
 
@@ -176,7 +176,7 @@
 		return 0, err.Error(), nil
 	}
 
-	// The library keeps the word that the connection ends to itself.
+	// net/http removes the header that announces the close.
 	if r.Close {
 		r.Header.Set("Connection", "close")
 	}
@@ -184,7 +184,7 @@
 	return r.StatusCode, string(b), r.Header
 }
 
-// catalog has a rule for each prefix.
+// catalog returns a catalog with a rule for each prefix.
 func catalog(version uint64, keys []string, prefixes ...string) cataloger.Document {
 	d := cataloger.Document{
 		Version: version, Groups: []cataloger.Group{{Name: "g"}},
@@ -200,7 +200,7 @@
 	return d
 }
 
-// target serves calls by a function, and says who it is by its echo of the ID.
+// target returns a target whose server echoes the ID and answers with a function.
 func target(t *testing.T, f func(w http.ResponseWriter)) enroller.Target {
 	t.Helper()
 
@@ -213,7 +213,7 @@
 	return enroller.Target{Group: "g", Address: netip.MustParseAddrPort(strings.TrimPrefix(s.URL, "http://")), Slots: 4}
 }
 
-// eventually waits for a state for some seconds.
+// status returns a condition that a call to a URL returns a status.
 func status(t *testing.T, url string, want int) func() bool {
 	t.Helper()
 
@@ -224,9 +224,9 @@
 	}
 }
 
-func TestReadyWhenItCanServe(t *testing.T) {
+func TestReadyOnceCallsCanBeServed(t *testing.T) {
 	is := is.New(t)
-	s := open(t)
+	s := start(t)
 
 	n, _, _ := get(t, s.ready+"/ready")
 	is.Equal(n, http.StatusServiceUnavailable)
@@ -239,33 +239,33 @@
 	time.Sleep(100 * time.Millisecond)
 
 	n, _, _ = get(t, s.ready+"/ready")
-	is.Equal(n, http.StatusServiceUnavailable) // There is nobody to serve a call.
+	is.Equal(n, http.StatusServiceUnavailable) // There is no target yet.
 
 	s.targets.put(t, "t1", target(t, func(w http.ResponseWriter) { _, _ = fmt.Fprint(w, "hello") }))
-	waiter.Until(t, "the status 200", status(t, s.ready+"/ready", http.StatusOK))
+	waiter.Until(t, "status 200", status(t, s.ready+"/ready", http.StatusOK))
 
 	n, b, _ := get(t, s.callers+"/x/")
 	is.Equal(n, http.StatusOK)
 	is.Equal(b, "hello")
 }
 
-// A user would find a key that was taken away working again: the platform answers
-// from an older state, or a version that can't be used comes between.
+// Guards against a revoked key that is accepted again, because the platform returns an older state
+// or an invalid version follows.
 func TestConfigurationNeverReverts(t *testing.T) {
 	for name, old := range map[string]any{
 		"older version": catalog(3, []string{"k"}, "/x/", "/y/"),
-		"not usable":    cataloger.Document{Version: 9, Rules: []cataloger.Rule{{Name: "r", Host: "app.example", Prefix: "no slash"}}},
+		"invalid":       cataloger.Document{Version: 9, Rules: []cataloger.Rule{{Name: "r", Host: "app.example", Prefix: "no slash"}}},
 		"not decodable": "text",
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			s := open(t)
+			s := start(t)
 			s.targets.put(t, "t1", target(t, func(w http.ResponseWriter) { _, _ = fmt.Fprint(w, "hello") }))
 			s.config.put(t, "config", catalog(2, []string{"k"}, "/x/"))
-			waiter.Until(t, "the status 200", status(t, s.callers+"/x/", http.StatusOK))
+			waiter.Until(t, "status 200", status(t, s.callers+"/x/", http.StatusOK))
 
 			s.config.put(t, "config", catalog(5, []string{"other"}, "/x/"))
-			waiter.Until(t, "the status 401", status(t, s.callers+"/x/", http.StatusUnauthorized))
+			waiter.Until(t, "status 401", status(t, s.callers+"/x/", http.StatusUnauthorized))
 
 			s.config.put(t, "config", old)
 			time.Sleep(300 * time.Millisecond)
@@ -276,12 +276,12 @@
 	}
 }
 
-// A user would see calls fail: another writer has written over a target's entry, the older
-// entry stayed in use, and the address is another's by now. New calls go elsewhere at once,
-// those in progress end as they would, and a good entry brings the target back.
-func TestTargetWhoseEntryIsWrittenOver(t *testing.T) {
+// Guards against failed calls to a target whose entry another writer has overwritten, while the
+// former entry remained in use and its address belongs to another process by now. New calls go to
+// other targets at once, running calls complete, and a valid entry restores the target.
+func TestTargetWithOverwrittenEntry(t *testing.T) {
 	is := is.New(t)
-	s := open(t)
+	s := start(t)
 	slow := make(chan struct{})
 
 	var first atomic.Bool
@@ -296,7 +296,7 @@
 
 	s.targets.put(t, "a", a)
 	s.config.put(t, "config", catalog(1, []string{"k"}, "/x/"))
-	waiter.Until(t, "the status 200", status(t, s.ready+"/ready", http.StatusOK))
+	waiter.Until(t, "status 200", status(t, s.ready+"/ready", http.StatusOK))
 
 	done := make(chan string, 1)
 
@@ -316,10 +316,10 @@
 	}
 
 	s.targets.put(t, "b", target(t, func(w http.ResponseWriter) { _, _ = fmt.Fprint(w, "b") }))
-	waiter.Until(t, "an answer of b", answered("b"))
+	waiter.Until(t, "a response from b", answered("b"))
 	s.targets.put(t, "a", "not an entry")
 	s.targets.put(t, "c", "not an entry either")
-	time.Sleep(2 * time.Second) // Within which changes are in force.
+	time.Sleep(2 * time.Second) // The default time within which changes are in force.
 
 	for range 50 {
 		is.True(answered("b")())
@@ -329,24 +329,24 @@
 	is.Equal(<-done, "a")
 
 	s.targets.put(t, "b", nil)
-	waiter.Until(t, "the status 503", status(t, s.callers+"/x/", http.StatusServiceUnavailable))
+	waiter.Until(t, "status 503", status(t, s.callers+"/x/", http.StatusServiceUnavailable))
 
 	s.targets.put(t, "a", a)
-	waiter.Until(t, "an answer of a", answered("a"))
+	waiter.Until(t, "a response from a", answered("a"))
 }
 
-// A planned stop cuts nothing: the call in progress gets its whole answer, those
-// that the balancer still sends are served, and each answer ends its connection.
+// Guards against cut calls in a planned stop: the running call gets its full response, calls that
+// the balancer still sends are served, and each response closes its connection.
 func TestPlannedStopCutsNoCall(t *testing.T) {
 	is := is.New(t)
-	s := open(t)
+	s := start(t)
 	slow := make(chan struct{})
 	s.targets.put(t, "t1", target(t, func(w http.ResponseWriter) {
 		<-slow
-		_, _ = fmt.Fprint(w, "whole")
+		_, _ = fmt.Fprint(w, "complete")
 	}))
 	s.config.put(t, "config", catalog(1, []string{"k"}, "/x/"))
-	waiter.Until(t, "the status 200", status(t, s.ready+"/ready", http.StatusOK))
+	waiter.Until(t, "status 200", status(t, s.ready+"/ready", http.StatusOK))
 
 	type result struct {
 		status     int
@@ -365,7 +365,7 @@
 
 	go func() { stopped <- s.app.Stop(context.Background()) }()
 
-	waiter.Until(t, "the status 503", status(t, s.ready+"/ready", http.StatusServiceUnavailable))
+	waiter.Until(t, "status 503", status(t, s.ready+"/ready", http.StatusServiceUnavailable))
 
 	go func() {
 		n, b, h := getBy(t, &http.Transport{}, s.callers+"/x/")
@@ -374,20 +374,19 @@
 
 	time.Sleep(100 * time.Millisecond)
 	close(slow)
-	is.Equal(<-first, result{http.StatusOK, "whole", ""})
-	is.Equal(<-late, result{http.StatusOK, "whole", "close"})
+	is.Equal(<-first, result{http.StatusOK, "complete", ""})
+	is.Equal(<-late, result{http.StatusOK, "complete", "close"})
 	is.NoErr(<-stopped)
 }
 
-// A stop took as long as it may with no call running: some callers don't heed that the instance is
-// not ready, and come on and on. Each gets its answer or a refusal, and the process ends in its
-// time all the same.
+// Guards against a stop that uses its full time limit with no call running, because callers ignore
+// readiness and keep sending. Each call is answered or refused, and the process exits in time.
 func TestStopEndsThoughCallersComeOn(t *testing.T) {
 	is := is.New(t)
-	s := open(t)
-	s.targets.put(t, "t1", target(t, func(w http.ResponseWriter) { _, _ = fmt.Fprint(w, "whole") }))
+	s := start(t)
+	s.targets.put(t, "t1", target(t, func(w http.ResponseWriter) { _, _ = fmt.Fprint(w, "complete") }))
 	s.config.put(t, "config", catalog(1, []string{"k"}, "/x/"))
-	waiter.Until(t, "the status 200", status(t, s.ready+"/ready", http.StatusOK))
+	waiter.Until(t, "status 200", status(t, s.ready+"/ready", http.StatusOK))
 
 	stopped := make(chan error, 1)
 
@@ -416,46 +415,47 @@
 }
 
 func TestLeavingTargetGetsNoNewCalls(t *testing.T) {
-	for name, leave := range map[string]func(t *testing.T, s *site, x enroller.Target){
-		"says that it drains": func(t *testing.T, s *site, x enroller.Target) {
+	for name, leave := range map[string]func(t *testing.T, s *fixture, x enroller.Target){
+		"announces that it drains": func(t *testing.T, s *fixture, x enroller.Target) {
 			t.Helper()
 
 			x.Draining = true
 			s.targets.put(t, "t1", x)
 		},
-		"is removed without a word": func(t *testing.T, s *site, _ enroller.Target) {
+		"removed without notice": func(t *testing.T, s *fixture, _ enroller.Target) {
 			t.Helper()
 			s.targets.put(t, "t1", nil)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			s := open(t)
+			s := start(t)
 			x := target(t, func(w http.ResponseWriter) { _, _ = fmt.Fprint(w, "hello") })
 			s.targets.put(t, "t1", x)
 			s.config.put(t, "config", catalog(1, []string{"k"}, "/x/"))
-			waiter.Until(t, "the status 200", status(t, s.callers+"/x/", http.StatusOK))
+			waiter.Until(t, "status 200", status(t, s.callers+"/x/", http.StatusOK))
 
 			b := time.Now()
 
 			leave(t, s, x)
-			waiter.Until(t, "the status 503", status(t, s.callers+"/x/", http.StatusServiceUnavailable))
+			waiter.Until(t, "status 503", status(t, s.callers+"/x/", http.StatusServiceUnavailable))
 			is.True(time.Since(b) < 2*time.Second)
 		})
 	}
 }
 
-// The platform is away for longer than entries last: what was known stands.
+// Guards against an outage of the platform, longer than the retention of entries, that changes what
+// is in force.
 func TestOutageOfThePlatform(t *testing.T) {
 	is := is.New(t)
-	s := open(t)
+	s := start(t)
 	s.targets.put(t, "t1", target(t, func(w http.ResponseWriter) { _, _ = fmt.Fprint(w, "hello") }))
 	s.config.put(t, "config", catalog(1, []string{"k"}, "/x/"))
-	waiter.Until(t, "the status 200", status(t, s.callers+"/x/", http.StatusOK))
+	waiter.Until(t, "status 200", status(t, s.callers+"/x/", http.StatusOK))
 
 	for _, x := range []*stream{s.config, s.targets} {
 		x.mu.Lock()
-		x.away = true
+		x.unavailable = true
 		x.mu.Unlock()
 	}
 
@@ -464,21 +464,21 @@
 	n, _, _ := get(t, s.callers+"/x/")
 	is.Equal(n, http.StatusOK)
 
-	// What it does not know may be new: callers are asked to come back.
+	// An unknown rule may be new, so the caller is asked to retry.
 	n, _, h := get(t, s.callers+"/new/")
 	is.Equal(n, http.StatusServiceUnavailable)
 	is.True(h.Get("Retry-After") != "")
 }
 
-// A fault of the program shows in the handling of one call. Its caller's connection was
-// closed without an answer, and the caller could only guess; the call gets an answer that
-// promises nothing, and the instance serves on.
-func TestPanicOfOneCall(t *testing.T) {
+// Guards against a panic in the handling of one call that closes its connection without a response,
+// which leaves the caller without an outcome. The call gets a response that makes no claim about it,
+// and the instance continues to serve.
+func TestPanicInOneCall(t *testing.T) {
 	i := is.New(t)
-	s := open(t)
+	s := start(t)
 	s.targets.put(t, "t1", target(t, func(w http.ResponseWriter) { _, _ = fmt.Fprint(w, "hello") }))
 	s.config.put(t, "config", catalog(1, []string{"k"}, "/x/"))
-	waiter.Until(t, "the status 200", status(t, s.callers+"/x/", http.StatusOK))
+	waiter.Until(t, "status 200", status(t, s.callers+"/x/", http.StatusOK))
 
 	q, err := http.NewRequestWithContext(t.Context(), http.MethodGet, s.callers+"/x/", nil)
 	i.NoErr(err)
--- a/internal/gatekeeper/members.go
+++ b/internal/gatekeeper/members.go
@@ -19,11 +19,11 @@
 	"github.com/auburntray/auburntray/internal/repeater"
 )
 
-// processID names this process among all instances' processes.
+// processID identifies this process among the processes of all instances.
 type processID uint64
 
 func newMessenger(l fx.Lifecycle, s Settings) (*messenger.Messenger, processID, error) {
-	id := processID(joiner.NewID(gossiper.ClassOf(s.link())))
+	id := processID(joiner.NewID(gossiper.ClassOf(s.linkRate())))
 
 	m, stop, err := messenger.New(s.Peers, uint64(id), &net.Dialer{}, nil)
 	if err != nil {
@@ -39,46 +39,46 @@
 	return m, id, nil
 }
 
-// unlisted stands for a list of instances where there is none: they find each
-// other by the seeds and by gossip.
-type unlisted struct{}
+// emptyDirectory is a list of instances without entries: gateways find each other through the
+// seeds and gossip instead.
+type emptyDirectory struct{}
 
-// Instances is part of what a joiner.Joiner needs.
-func (unlisted) Instances(context.Context, uint64) (recorder.List, error) {
+// Instances implements the list of instances that a joiner.Joiner requires.
+func (emptyDirectory) Instances(context.Context, uint64) (recorder.List, error) {
 	return recorder.List{}, nil
 }
 
-func newMembers(s Settings, m *messenger.Messenger, id processID, f *facts) *joiner.Joiner {
+func newMembers(s Settings, m *messenger.Messenger, id processID, f *state) *joiner.Joiner {
 	x := gossiper.Member{ID: uint64(id), Address: m.Address(), Region: s.Region, DataCentre: s.DataCentre}
 	r := mathrand.New(mathrand.NewPCG(x.ID, 0)) //nolint:gosec // Spreads messages.
-	j := joiner.New(m, unlisted{}, gossiper.New(gossiper.DefaultSettings(), r, x), x, s.Seeds, joiner.Hooks{
+	j := joiner.New(m, emptyDirectory{}, gossiper.New(gossiper.DefaultSettings(), r, x), x, s.Seeds, joiner.Hooks{
 		Revision: f.version,
 		Ahead:    func(netip.AddrPort, uint64) {},
 		Seen:     func(recorder.Instance) {},
 	})
-	f.instances = (&peak{count: func() int { return len(j.Live()) }, lasts: peakFor}).value
+	f.instances = (&peak{count: func() int { return len(j.Live()) }, window: instancePeakWindow}).value
 
 	return j
 }
 
 func newRepeater(s Settings, m *messenger.Messenger, j *joiner.Joiner, c *meter.Meter) *repeater.Repeater {
-	return repeater.New(m, j, c, s.link())
+	return repeater.New(m, j, c, s.linkRate())
 }
 
-// peakFor is how long the largest number of instances seen stands. Instances that
-// can't be reached may still be there and spend their part of the budget; a data
-// centre that is cut off must not take the part of the others.
-const peakFor = time.Minute
+// instancePeakWindow is how long the largest observed number of instances is retained. Unreachable
+// instances may still be running and spending their part of the retry budget; a data centre that
+// is partitioned must not spend the part of the others.
+const instancePeakWindow = time.Minute
 
-// peak is the largest number of instances seen for a time. It is safe for concurrent
+// peak tracks the largest number of instances observed within a window. It is safe for concurrent
 // use.
 type peak struct {
-	count func() int
-	lasts time.Duration
+	count  func() int
+	window time.Duration
 
-	mu   sync.Mutex
-	most int
-	at   time.Time
+	mu      sync.Mutex
+	highest int
+	at      time.Time
 }
 
 func (p *peak) value() int {
@@ -87,9 +87,9 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	if n >= p.most || time.Since(p.at) > p.lasts {
-		p.most, p.at = n, time.Now()
+	if n >= p.highest || time.Since(p.at) > p.window {
+		p.highest, p.at = n, time.Now()
 	}
 
-	return p.most
+	return p.highest
 }
--- a/internal/gatekeeper/metrics.go
+++ b/internal/gatekeeper/metrics.go
@@ -6,12 +6,12 @@
 	"github.com/auburntray/auburntray/internal/meter"
 )
 
-// follow connects the metrics that are read where they stand.
-func (g *Gatekeeper) follow(m *meter.Meter) {
-	m.Follow("catalog_version", func() float64 { return float64(g.facts.version()) })
-	m.Follow("catalog_age_seconds", func() float64 { return time.Since(g.facts.heard()).Seconds() })
-	m.Follow("targets", func() float64 { return float64(len(g.facts.Registry().Known)) })
-	m.Follow("data_centres_evacuated", func() float64 { return float64(len(g.facts.evacuations().Begun)) })
+// registerMetrics registers the metrics that are read on demand.
+func (g *Gatekeeper) registerMetrics(m *meter.Meter) {
+	m.Follow("catalog_version", func() float64 { return float64(g.state.version()) })
+	m.Follow("catalog_age_seconds", func() float64 { return time.Since(g.state.lastConfirmed()).Seconds() })
+	m.Follow("targets", func() float64 { return float64(len(g.state.Registry().Known)) })
+	m.Follow("data_centres_evacuated", func() float64 { return float64(len(g.state.evacuations().Begun)) })
 	m.Follow("calls_running_evacuated", func() float64 {
 		n := 0
 		for _, x := range g.evacuations.list() {
@@ -20,7 +20,7 @@
 
 		return float64(n)
 	})
-	m.Follow("instances", func() float64 { return float64(g.facts.Instances()) })
+	m.Follow("instances", func() float64 { return float64(g.state.Instances()) })
 	m.Follow("calls_running", func() float64 { return float64(g.drainer.Running()) })
 	m.Follow("control_bytes_sent", func() float64 { s, _ := g.messenger.Traffic().Bytes(); return float64(s) })
 	m.Loads(func() []meter.Load {
--- a/internal/gatekeeper/construct.go
+++ b/internal/gatekeeper/options.go
@@ -29,43 +29,43 @@
 )
 
 const (
-	// maxCalls is how many calls may be in progress; with some 50 KB each they fit
-	// the memory of the smallest instances.
+	// maxCalls is the largest number of calls in progress. At about 50 KB each they fit into the
+	// memory of the smallest instances.
 	maxCalls = 4096
-	// patience is how long callers wait that do not say.
-	patience = 30 * time.Second
-	// drainNotice is how long a balancer that asks once a second, and believes
-	// two answers, takes to send no more.
+	// defaultPatience is the time limit of calls whose callers give none.
+	defaultPatience = 30 * time.Second
+	// drainNotice is how long a load balancer needs to stop sending calls if it checks readiness
+	// once a second and acts on two equal answers in a row.
 	drainNotice = 2500 * time.Millisecond
-	// stopMost bounds a start, and a stop when the settings change to a time without
-	// reason.
-	stopMost = time.Hour
-	// configRest is the pause between two reads of the configuration when it changes all the time, and
-	// targetRestPart that between two reads of the targets, as a part of the time that
-	// waits may take. Each read has a price.
-	configRest     = 100 * time.Millisecond
-	targetRestPart = 0.3
+	// lifecycleTimeout limits the start, and the stop if the settings change to an unreasonable
+	// time.
+	lifecycleTimeout = time.Hour
+	// configReadPause is the pause between reads of a configuration that changes constantly.
+	// targetReadPauseFraction is the pause between reads of the targets, as a fraction of the time
+	// available for waits. Each read has a cost.
+	configReadPause         = 100 * time.Millisecond
+	targetReadPauseFraction = 0.3
 )
 
-// Options returns the fx options of a gateway. The application serves when it
-// starts, and stops as planned when it stops.
-func Options(s Settings, w World) fx.Option {
+// Options returns the fx options of a gateway. The application serves once it has started, and
+// performs a planned stop when it is stopped.
+func Options(s Settings, w Environment) fx.Option {
 	return fx.Options(
 		fx.Supply(s, w),
-		fx.Provide(meter.New, newFactsOf, newTracer, newMessenger, newMembers, newRepeater, newReserver, newWarner, newForwarder, newGatekeeper),
+		fx.Provide(meter.New, provideState, newTracer, newMessenger, newMembers, newRepeater, newReserver, newWarner, newForwarder, newGatekeeper),
 		fx.WithLogger(func() fxevent.Logger { return fxevent.NopLogger }),
-		// A process that stands still as it starts must not end by itself for it.
-		fx.StartTimeout(stopMost),
-		fx.StopTimeout(stopMost),
+		// A process that stalls during its start must not exit because of that.
+		fx.StartTimeout(lifecycleTimeout),
+		fx.StopTimeout(lifecycleTimeout),
 		fx.Invoke(func(l fx.Lifecycle, g *Gatekeeper) {
 			l.Append(fx.Hook{OnStart: g.Start, OnStop: g.Stop})
 		}),
 	)
 }
 
-func newFactsOf(s Settings) *facts {
-	f := newFacts()
-	f.within = s.within()
+func provideState(s Settings) *state {
+	f := newState()
+	f.applyWithin = s.applyWithin()
 
 	return f
 }
@@ -85,23 +85,23 @@
 	return r
 }
 
-func newWarner(w World, m *messenger.Messenger, j *joiner.Joiner) *warner.Warner {
-	x := warner.New(m, j, w.Held, quarantiner.DefaultSettings())
+func newWarner(w Environment, m *messenger.Messenger, j *joiner.Joiner) *warner.Warner {
+	x := warner.New(m, j, w.Quarantine, quarantiner.DefaultSettings())
 	x.Register(m)
 
 	return x
 }
 
 func newForwarder(
-	l fx.Lifecycle, s Settings, w World, f *facts, t trace.Tracer, m *meter.Meter, j *joiner.Joiner, h *reserver.Reserver, q *warner.Warner,
+	l fx.Lifecycle, s Settings, w Environment, f *state, t trace.Tracer, m *meter.Meter, j *joiner.Joiner, h *reserver.Reserver, q *warner.Warner,
 ) *forwarder.Forwarder {
 	x, stop := forwarder.New(
-		forwarder.Settings{DataCentre: s.DataCentre, DefaultTimeout: patience, MaxBody: maxBody, Regions: s.Regions},
+		forwarder.Settings{DataCentre: s.DataCentre, DefaultTimeout: defaultPatience, MaxBody: maxBodyBytes, Regions: s.Regions},
 		w.Dialect, f, t, m, &net.Dialer{}, newChooser(s, j), budgeter.New(s.Retries, time.Now()))
 	x.SetReserver(h)
 	x.SetQuarantine(q)
 	q.OnEnds(x.RecordCrashes)
-	f.dropped = func(r *enroller.Roster) {
+	f.onRosterChange = func(r *enroller.Roster) {
 		x.Prune(r)
 		h.Forget(r)
 	}
@@ -115,17 +115,17 @@
 	return x
 }
 
-// settledAfter is how long an instance must have run to know the others: gossip has reached it
-// several times by then.
+// settledAfter is how long an instance must have run to know the other instances: gossip has
+// reached it several times by then.
 const settledAfter = 3 * time.Second
 
-// sharesStandFor is how long instances that are gone keep their shares of the calls at cold targets:
-// longer than most cuts last.
-const sharesStandFor = time.Hour
+// shareRetention is how long instances that are gone retain their shares of the calls at cold
+// targets. It is longer than most network partitions last.
+const shareRetention = time.Hour
 
 func newChooser(s Settings, j *joiner.Joiner) *selector.Selector {
 	b := time.Now()
-	p := &peak{count: func() int { return max(len(j.Live()), len(j.Seeds())) }, lasts: sharesStandFor}
+	p := &peak{count: func() int { return max(len(j.Live()), len(j.Seeds())) }, window: shareRetention}
 	c := selector.New(selector.DefaultSettings().WithMaxFactor(s.MostLoad))
 	c.Throttle(s.Cold, func() throttler.Fleet {
 		o := throttler.Fleet{Self: j.Self().ID, MaxInstances: p.value(), Settled: time.Since(b) >= settledAfter}
@@ -139,13 +139,13 @@
 	return c
 }
 
-// parts are what a Gatekeeper runs.
-type parts struct {
+// dependencies are the components of a Gatekeeper.
+type dependencies struct {
 	fx.In
 
 	Settings  Settings
-	World     World
-	Facts     *facts
+	World     Environment
+	State     *state
 	Forwarder *forwarder.Forwarder
 	Messenger *messenger.Messenger
 	Joiner    *joiner.Joiner
@@ -154,15 +154,15 @@
 	Meter     *meter.Meter
 }
 
-func newGatekeeper(p parts) *Gatekeeper {
-	s, w, f, x, m, j, r := p.Settings, p.World, p.Facts, p.Forwarder, p.Messenger, p.Joiner, p.Repeater
+func newGatekeeper(p dependencies) *Gatekeeper {
+	s, w, f, x, m, j, r := p.Settings, p.World, p.State, p.Forwarder, p.Messenger, p.Joiner, p.Repeater
 
 	const config, targets = "config", "targets"
 
-	// Entries of targets are short, and the way to all instances takes them no time.
-	d, e := watcher.Waits(s.within()), s.within()
+	// Target entries are short, so transmitting them to all instances takes negligible time.
+	d, e := watcher.Waits(s.applyWithin()), s.applyWithin()
 	c, t := r.Stream(config, w.Config, d), r.Stream(targets, w.Targets, e)
-	f.heard = c.Heard
+	f.lastConfirmed = c.Heard
 	m.Handle(wire.KindStream, r.Answer)
 	m.Handle(wire.KindGossip, j.Gossip)
 
@@ -175,26 +175,26 @@
 	x.OnLeaving(i.Leaving)
 
 	g := &Gatekeeper{
-		settings: s, facts: f, forwarder: x, evacuations: newEvacuations(f, x), messenger: m, joiner: j, informer: i, warner: p.Warner, drainer: drainer.New(drainNotice, maxCalls),
+		settings: s, state: f, forwarder: x, evacuations: newEvacuationReporter(f, x), messenger: m, joiner: j, informer: i, warner: p.Warner, drainer: drainer.New(drainNotice, maxCalls),
 		watchers: []*watcher.Watcher{
-			watcher.New(config, c, sinks{
-				// First: an instance that starts must know what is evacuated when it has a catalog.
-				&evacuationSink{
-					facts: f, decode: w.DecodeEvacuation, marks: newMarks(), refusals: &refusals{stream: config, counter: p.Meter},
+			watcher.New(config, c, handlers{
+				// Evacuations come first: a starting instance must know them before it has a catalog.
+				&evacuationHandler{
+					state: f, decode: w.DecodeEvacuation, records: newSeenRecords(), refusals: &refusalReporter{stream: config, counter: p.Meter},
 				},
-				&configSink{
-					facts: f, key: w.ConfigKey, decode: w.DecodeConfig, refusals: &refusals{stream: config, counter: p.Meter},
+				&configHandler{
+					state: f, key: w.ConfigKey, decode: w.DecodeConfig, refusals: &refusalReporter{stream: config, counter: p.Meter},
 				},
-			}, configRest, d),
-			watcher.New(targets, t, &targetSink{
-				facts: f, decode: w.DecodeTarget, marks: newMarks(), refusals: &refusals{stream: targets, counter: p.Meter},
-			}, time.Duration(targetRestPart*float64(e)), e),
+			}, configReadPause, d),
+			watcher.New(targets, t, &targetHandler{
+				state: f, decode: w.DecodeTarget, records: newSeenRecords(), refusals: &refusalReporter{stream: targets, counter: p.Meter},
+			}, time.Duration(targetReadPauseFraction*float64(e)), e),
 		},
 	}
-	m.Handle(wire.KindEvacuations, g.evacuations.Asked)
-	g.stop.Store(int64(s.Stop))
-	g.handle(w.ReadyPath, p.Meter)
-	g.follow(p.Meter)
+	m.Handle(wire.KindEvacuations, g.evacuations.HandleRequest)
+	g.stopTimeout.Store(int64(s.StopTimeout))
+	g.createServers(w.ReadyPath, p.Meter)
+	g.registerMetrics(p.Meter)
 
 	for name, k := range map[string]wire.Kind{
 		"news": wire.KindNews, "relay": wire.KindRelay, "gone": wire.KindGone, "leaving": wire.KindLeaving, "gossip": wire.KindGossip, "reply": wire.KindReply,
--- a/internal/gatekeeper/run.go
+++ b/internal/gatekeeper/run.go
@@ -14,36 +14,37 @@
 )
 
 const (
-	// settleEvery is how late the end of a grace may be noticed.
-	settleEvery = 100 * time.Millisecond
-	// lookEvery is how late a cut, or its end, may be noticed. The balancer asks once a
-	// second and believes two answers.
-	lookEvery = 300 * time.Millisecond
-	// sweepEvery is how late an idle connection may be closed.
-	sweepEvery = time.Second
+	// removeLapsedInterval is the largest delay in detecting the end of a grace period.
+	removeLapsedInterval = 100 * time.Millisecond
+	// partitionCheckInterval is the largest delay in detecting the start or end of a network
+	// partition. The balancer checks readiness once a second and acts on two equal answers.
+	partitionCheckInterval = 300 * time.Millisecond
+	// idleSweepInterval is the largest delay in closing an idle connection.
+	idleSweepInterval = time.Second
 )
 
-// Start serves callers and follows the streams in the background.
+// Start serves callers, and follows the streams in the background. It fails with ErrStart when an
+// address can't be listened on.
 func (g *Gatekeeper) Start(c context.Context) error {
-	if err := g.serveAll(c); err != nil {
+	if err := g.listenAndServe(c); err != nil {
 		return err
 	}
 
 	x, end := context.WithCancel(context.Background())
-	g.end = end
+	g.cancel = end
 
-	g.background(func() { every(x, settleEvery, g.facts.settle) })
-	g.background(func() { every(x, settleEvery, g.evacuations.look) })
-	g.background(func() { every(x, lookEvery, func() { g.forwarder.CheckConnectivity(x) }) })
-	g.background(func() { every(x, detector.TickEvery, g.facts.tick) })
-	g.background(func() { every(x, sweepEvery, func() { g.idler.Sweep() }) })
+	g.runInBackground(func() { runEvery(x, removeLapsedInterval, g.state.removeLapsed) })
+	g.runInBackground(func() { runEvery(x, removeLapsedInterval, g.evacuations.reportEmptied) })
+	g.runInBackground(func() { runEvery(x, partitionCheckInterval, func() { g.forwarder.CheckConnectivity(x) }) })
+	g.runInBackground(func() { runEvery(x, detector.TickEvery, g.state.recordTick) })
+	g.runInBackground(func() { runEvery(x, idleSweepInterval, func() { g.idler.Sweep() }) })
 	g.messenger.Serve()
-	g.background(func() { g.joiner.Run(x) })
-	g.background(func() { g.informer.Run(x) })
-	g.background(func() { g.warner.Run(x) })
+	g.runInBackground(func() { g.joiner.Run(x) })
+	g.runInBackground(func() { g.informer.Run(x) })
+	g.runInBackground(func() { g.warner.Run(x) })
 
 	for _, w := range g.watchers {
-		g.background(func() { w.Run(x) })
+		g.runInBackground(func() { w.Run(x) })
 	}
 
 	logrus.WithFields(logrus.Fields{
@@ -53,15 +54,15 @@
 	return nil
 }
 
-// serveAll serves callers, the balancer and readers of counts. It listens on all addresses
-// before it serves on any: one that is taken must not end a process that has calls.
-func (g *Gatekeeper) serveAll(c context.Context) error {
+// listenAndServe serves callers, the readiness endpoint and metrics. It listens on all addresses
+// before it serves any, so that an address in use can't end a process that already has calls.
+func (g *Gatekeeper) listenAndServe(c context.Context) error {
 	listeners := make(map[*http.Server]net.Listener)
 
 	for _, s := range []struct {
 		server  *http.Server
 		address netip.AddrPort
-	}{{g.callers, g.settings.Callers}, {g.ready, g.settings.Ready}, {g.metrics, g.settings.Metrics}} {
+	}{{g.callerServer, g.settings.Callers}, {g.readyServer, g.settings.Ready}, {g.metricsServer, g.settings.Metrics}} {
 		if !s.address.IsValid() {
 			continue
 		}
@@ -69,7 +70,7 @@
 		l, err := (&net.ListenConfig{}).Listen(c, "tcp", s.address.String())
 		if err != nil {
 			for _, x := range listeners {
-				_ = x.Close() // Nobody was served.
+				_ = x.Close() // No call was served yet.
 			}
 
 			return errors.Mark(err, ErrStart)
@@ -79,7 +80,7 @@
 	}
 
 	for s, l := range listeners {
-		g.background(func() {
+		g.runInBackground(func() {
 			if err := s.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 				logrus.WithFields(logrus.Fields{"event": "serveFailed", "error": err}).Error()
 			}
@@ -89,17 +90,17 @@
 	return nil
 }
 
-func (g *Gatekeeper) background(f func()) {
-	g.group.Add(1)
+func (g *Gatekeeper) runInBackground(f func()) {
+	g.background.Add(1)
 
 	go func() {
-		defer g.group.Done()
+		defer g.background.Done()
 		f()
 	}()
 }
 
-// every calls a function again and again until the context ends.
-func every(c context.Context, d time.Duration, f func()) {
+// runEvery calls a function at an interval until the context ends.
+func runEvery(c context.Context, d time.Duration, f func()) {
 	t := time.NewTicker(d)
 	defer t.Stop()
 
--- a/internal/gatekeeper/servers.go
+++ b/internal/gatekeeper/servers.go
@@ -13,19 +13,18 @@
 )
 
 const (
-	// headerTimeout is how long a caller may take for its headers. Callers that
-	// are well need a packet or two. The catalog may set less.
+	// headerTimeout is how long a caller may take to send its headers. Healthy callers need one
+	// or two packets. The catalog may set a lower limit.
 	headerTimeout = 10 * time.Second
-	// maxHeader and maxBody bound what a caller may send, in bytes, whatever the
-	// catalog says.
-	maxHeader = 256 << 10
-	maxBody   = 16 << 20
-	// metricsPath is where counts are served.
+	// maxHeaderBytes and maxBodyBytes limit the requests of callers, whatever the catalog sets.
+	maxHeaderBytes = 256 << 10
+	maxBodyBytes   = 16 << 20
+	// metricsPath is the path of the metrics.
 	metricsPath = "/metrics"
 )
 
-// handle sets up the callers' and the balancer's side.
-func (g *Gatekeeper) handle(readyPath string, m *meter.Meter) {
+// createServers creates the servers for callers, readiness checks and metrics.
+func (g *Gatekeeper) createServers(readyPath string, m *meter.Meter) {
 	gin.SetMode(gin.ReleaseMode)
 
 	c := gin.New()
@@ -37,22 +36,22 @@
 	r := gin.New()
 	r.GET(readyPath, g.answerReady)
 
-	g.idler = idler.New(g.limits)
-	g.callers = &http.Server{
-		Handler: c, ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeader,
+	g.idler = idler.New(g.connectionLimits)
+	g.callerServer = &http.Server{
+		Handler: c, ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ConnState: g.idler.Track, ConnContext: g.idler.Context,
 	}
-	g.ready = &http.Server{Handler: r, ReadHeaderTimeout: headerTimeout}
+	g.readyServer = &http.Server{Handler: r, ReadHeaderTimeout: headerTimeout}
 
 	x := gin.New()
 	x.GET(metricsPath, gin.WrapH(m.Handler()))
 
-	g.metrics = &http.Server{Handler: x, ReadHeaderTimeout: headerTimeout}
+	g.metricsServer = &http.Server{Handler: x, ReadHeaderTimeout: headerTimeout}
 }
 
-// limits returns how long a caller's connection may be without a call.
-func (g *Gatekeeper) limits() idler.Limits {
-	c := g.facts.Catalog()
+// connectionLimits returns how long a caller's connection may remain without a call.
+func (g *Gatekeeper) connectionLimits() idler.Limits {
+	c := g.state.Catalog()
 	if c == nil {
 		return idler.Limits{}
 	}
@@ -60,7 +59,7 @@
 	return idler.Limits{Idle: c.Limits.Idle, Header: c.Limits.HeaderTime}
 }
 
-// serve counts a call in and out, so that a stop waits for it.
+// serve counts a call as running while it is handled, so that a stop waits for it.
 func (g *Gatekeeper) serve(w http.ResponseWriter, r *http.Request) {
 	g.idler.Begun(r.Context())
 
@@ -76,13 +75,13 @@
 	g.forwarder.ServeHTTP(w, r)
 }
 
-// answerReady says whether the balancer should send calls: a catalog and targets
-// are known, no stop has begun, and the instance is not on the small side of a cut, where
-// callers are refused what others can serve.
+// answerReady reports to the balancer whether it should send calls: a catalog and targets are
+// known, no stop has begun, and the instance is not on the minority side of a network partition,
+// where it refuses calls that other instances can serve.
 func (g *Gatekeeper) answerReady(c *gin.Context) {
-	r := g.facts.Registry()
-	// With everything evacuated callers are told when to come back, which nobody else could.
-	if g.facts.Catalog() == nil || len(r.Groups)+len(r.Closed) == 0 || !g.drainer.Ready() || g.forwarder.CutOff() {
+	r := g.state.Registry()
+	// If all data centres are evacuated the instance is ready: callers are told when to retry.
+	if g.state.Catalog() == nil || len(r.Groups)+len(r.Closed) == 0 || !g.drainer.Ready() || g.forwarder.CutOff() {
 		c.Status(http.StatusServiceUnavailable)
 
 		return
--- a/internal/gatekeeper/settings.go
+++ b/internal/gatekeeper/settings.go
@@ -13,90 +13,90 @@
 	"github.com/auburntray/auburntray/internal/watcher"
 )
 
-// Settings are those of one instance.
+// Settings configures one instance.
 type Settings struct {
 	Name       string
 	DataCentre string
-	// Callers is where calls come in, Ready where the balancer asks whether to
-	// send any.
+	// Callers is the address for calls, Ready the one at which the balancer checks readiness.
 	Callers netip.AddrPort
 	Ready   netip.AddrPort
-	// Peers is where other instances call.
+	// Peers is the address for messages from other instances.
 	Peers  netip.AddrPort
 	Region string
-	// Regions are the regions of data centres, by name.
+	// Regions maps the names of data centres to their regions.
 	Regions map[string]string
-	// MostLoad is the multiple of the mean load of its group that a target may have; zero stands for
-	// twice.
+	// MostLoad is the multiple of its group's mean load that a target may have; zero means 2.
 	MostLoad float64
-	// Within is the time within which a change of the configuration or of the targets must be in force
-	// at all instances; zero stands for DefaultWithin. The waits of reads follow from it.
-	Within time.Duration
-	// Link is what the instance's link carries, in bytes a second; zero stands for DefaultLink.
-	Link float64
-	// Metrics is where counts are served; zero serves them to nobody.
+	// ApplyWithin is the time within which a change of the configuration or the targets must be in force
+	// at all instances; zero means DefaultApplyWithin. The wait times of reads are derived from it.
+	ApplyWithin time.Duration
+	// LinkRate is the bandwidth of the instance's link, in bytes per second; zero means DefaultLinkRate.
+	LinkRate float64
+	// Metrics is the address at which metrics are served; zero disables them.
 	Metrics netip.AddrPort
 
 	Tunables
 }
 
-// DefaultWithin is the time within which changes are in force where nobody says. withinLeast and
-// withinMost bound it: reads take their time, and callers of an older configuration do not wait.
+// DefaultApplyWithin is the default time within which changes are in force. It is limited to
+// minWithin, as reads take time, and to maxWithin, as callers don't wait until an outdated
+// configuration is replaced.
 const (
-	DefaultWithin = 2 * time.Second
-	withinLeast   = time.Second
-	withinMost    = 4 * time.Second
+	DefaultApplyWithin = 2 * time.Second
+	minWithin          = time.Second
+	maxWithin          = 4 * time.Second
 )
 
-// DefaultLink is what a link carries where nobody says, in bytes a second: 10 Mbit/s.
-const DefaultLink = 1.25e6
+// DefaultLinkRate is the default bandwidth of a link in bytes per second, 10 Mbit/s.
+const DefaultLinkRate = 1.25e6
 
-func (s Settings) link() float64 {
-	if s.Link == 0 {
-		return DefaultLink
+func (s Settings) linkRate() float64 {
+	if s.LinkRate == 0 {
+		return DefaultLinkRate
 	}
 
-	return s.Link
+	return s.LinkRate
 }
 
-func (s Settings) within() time.Duration {
-	if s.Within == 0 {
-		return DefaultWithin
+func (s Settings) applyWithin() time.Duration {
+	if s.ApplyWithin == 0 {
+		return DefaultApplyWithin
 	}
 
-	return min(max(s.Within, withinLeast), withinMost)
+	return min(max(s.ApplyWithin, minWithin), maxWithin)
 }
 
 // Tunables are the settings that may change while an instance runs.
+// Seeds are the addresses of some other instances, used to join them.
 type Tunables struct {
 	// Seeds are where a few of the other instances may be found.
 	Seeds []netip.AddrPort
-	// Stop is how long a planned stop may take.
-	Stop time.Duration
-	// Retries bounds the repeats of all instances together.
+	// StopTimeout is the time limit of a planned stop.
+	StopTimeout time.Duration
+	// Retries limits the retries of all instances together.
 	Retries budgeter.Settings
-	// Cold bounds the calls of all instances at targets that are cold.
+	// Cold limits the calls of all instances to cold targets.
 	Cold throttler.Settings
 }
 
-// World is what surrounds a gateway: where its catalog and targets come from, and
-// how callers and targets speak.
-type World struct {
+// Environment describes the surroundings of a gateway: the sources of its catalog and targets, and the
+// protocol of callers and targets.
+type Environment struct {
 	Dialect forwarder.Dialect
-	// Config is the stream with the configuration, under ConfigKey.
+	// Config is the stream that contains the configuration under ConfigKey.
 	Config       watcher.Source
 	ConfigKey    string
 	DecodeConfig func([]byte) (cataloger.Document, error)
-	// DecodeEvacuation returns the data centre that a record of Config evacuates, and false when
-	// it is about none; no value means that the evacuation is over. The error says what of the
-	// record can't be read.
+	// DecodeEvacuation returns the data centre that a record of Config evacuates, and false when the
+	// record is not an evacuation; an empty value ends the evacuation. The error describes the part
+	// of the record that can't be decoded.
 	DecodeEvacuation func(key string, b []byte) (string, bool, error)
-	// Targets is the stream with an entry for each target. The error of an entry that names one all
-	// the same is marked watcher.ErrDoubt.
+	// Targets is the stream with an entry for each target. If an invalid entry still names a target,
+	// DecodeTarget marks its error with watcher.ErrDoubt.
 	Targets      watcher.Source
 	DecodeTarget func(key string, b []byte) (enroller.Target, error)
-	// Held keeps the calls that are held back; nil keeps them nowhere.
-	Held warner.Shelf
-	// ReadyPath is where the balancer asks.
+	// Quarantine stores the records of quarantined calls; nil stores none.
+	Quarantine warner.Shelf
+	// ReadyPath is the path of the readiness checks.
 	ReadyPath string
 }
--- a/internal/gatekeeper/facts_test.go
+++ b/internal/gatekeeper/state_test.go
@@ -11,10 +11,9 @@
 	"github.com/auburntray/auburntray/internal/watcher"
 )
 
-// All instances lose power and start again. Callers that knock in the milliseconds
-// between an instance's read of the catalog and its read of the targets were told
-// that no target takes calls, which cost each of them one of its few tries. A call
-// waits until both are known.
+// Guards against calls refused for lack of a target in the milliseconds between the reads of the
+// catalog and of the targets after a start, which costs callers one of their few attempts. Calls
+// wait until both are known.
 func TestCallsWaitForTheTargetsToo(t *testing.T) {
 	c := cataloger.Document{Version: 2, Groups: []cataloger.Group{{Name: "g"}}}
 
@@ -30,17 +29,17 @@
 	for name, x := range tests {
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
-			f := newFacts()
-			f.dropped = func(*enroller.Roster) {}
+			f := newState()
+			f.onRosterChange = func(*enroller.Roster) {}
 
 			if x.catalog {
 				k, err := cataloger.New(c)
 				i.NoErr(err)
-				f.enforce(k, watcher.Record{})
+				f.applyCatalog(k, watcher.Record{})
 			}
 
 			if x.targets {
-				s, _ := sinkOf(f)
+				s, _ := newTestTargetHandler(f)
 				i.NoErr(s.Reset([]watcher.Record{{Key: "t", Value: []byte("g")}}, 1))
 			}
 
@@ -49,15 +48,14 @@
 	}
 }
 
-// Three thousand targets enter the list within some seconds. Each made the roster anew,
-// and an instance with a fifth of a core spent more time on that than there is: its reads
-// came late, and it fell back to asking for the whole list again and again. What one read
-// brings makes one roster.
-func TestChangesOfAReadMakeOneRoster(t *testing.T) {
+// Guards against one roster per change: when 3,000 targets registered within seconds, an instance
+// with 0.2 cores could not keep up, its reads were late, and it requested full lists repeatedly.
+// The changes of one read are published as one roster.
+func TestOneReadPublishesOneRoster(t *testing.T) {
 	i := is.New(t)
-	f := newFacts()
-	f.dropped = func(*enroller.Roster) {}
-	s, _ := sinkOf(f)
+	f := newState()
+	f.onRosterChange = func(*enroller.Roster) {}
+	s, _ := newTestTargetHandler(f)
 	i.NoErr(s.Reset(nil, 0))
 
 	b := f.Registry()
@@ -73,17 +71,17 @@
 	i.Equal(len(f.Registry().Known), 99)
 }
 
-// An instance shows ready and refuses each call, or does not notice that it is cut off:
-// another program enters targets of a group that no catalog names, in a data centre of its
-// own. They are used once a catalog names their group.
-func TestTargetsOfGroupsThatNoCatalogNames(t *testing.T) {
+// Guards against targets of groups outside the catalog, which another program registers in a data
+// centre of its own: the instance reported ready but refused every call, or did not detect a
+// network partition. The targets are used once a catalog contains their group.
+func TestTargetsOfGroupsOutsideTheCatalog(t *testing.T) {
 	i := is.New(t)
-	f := newFacts()
+	f := newState()
 
 	var last *enroller.Roster
 
-	f.dropped = func(r *enroller.Roster) { last = r }
-	s, _ := sinkOf(f)
+	f.onRosterChange = func(r *enroller.Roster) { last = r }
+	s, _ := newTestTargetHandler(f)
 	i.NoErr(s.Reset([]watcher.Record{{Key: "t", Value: []byte("g")}, {Key: "u", Value: []byte("other")}}, 2))
 
 	enforce := func(version uint64, groups ...string) {
@@ -94,7 +92,7 @@
 
 		c, err := cataloger.New(d)
 		i.NoErr(err)
-		f.enforce(c, watcher.Record{})
+		f.applyCatalog(c, watcher.Record{})
 	}
 
 	enforce(1, "g")
--- a/internal/gatekeeper/stop.go
+++ b/internal/gatekeeper/stop.go
@@ -10,23 +10,22 @@
 )
 
 const (
-	// stopMargin is what a stop leaves of its time, so that it ends by itself and
-	// logs what it cut.
+	// stopMargin is the part of the time limit that a stop leaves unused, so that it completes by
+	// itself and logs the calls that it cut.
 	stopMargin = 300 * time.Millisecond
-	// advanceEvery is how often it is looked whether a stop may go on.
-	advanceEvery = 50 * time.Millisecond
-	// flushMost is how long a stop waits for answers that are on their way to callers
-	// when the last call has ended.
-	flushMost = 200 * time.Millisecond
-	// endMost is how long a stop waits for what runs in the background, which has nothing
-	// to do any more.
-	endMost = stopMargin / 2
+	// advanceInterval is the interval of checks whether a stop may proceed.
+	advanceInterval = 50 * time.Millisecond
+	// flushTimeout is how long a stop waits for responses that are still being sent to callers
+	// after the last call has ended.
+	flushTimeout = 200 * time.Millisecond
+	// backgroundTimeout is how long a stop waits for background goroutines, which are idle by then.
+	backgroundTimeout = stopMargin / 2
 )
 
-// Stop stops as planned: it shows not ready, serves what still comes until the
-// balancer has noticed, and ends when the last call has.
+// Stop performs a planned stop: it reports not ready, serves calls until the balancer has noticed,
+// and returns when the last call has ended or the time limit is reached.
 func (g *Gatekeeper) Stop(c context.Context) error {
-	c, stop := context.WithTimeout(c, max(time.Duration(g.stop.Load())-stopMargin, stopMargin))
+	c, stop := context.WithTimeout(c, max(time.Duration(g.stopTimeout.Load())-stopMargin, stopMargin))
 	defer stop()
 
 	g.drainer.Notice(time.Now())
@@ -35,7 +34,7 @@
 
 	g.joiner.Leave(c)
 
-	t := time.NewTicker(advanceEvery)
+	t := time.NewTicker(advanceInterval)
 	defer t.Stop()
 
 	for g.drainer.Advance(time.Now()) != drainer.Done && c.Err() == nil {
@@ -47,10 +46,10 @@
 
 	n := g.drainer.Running()
 
-	g.end()
+	g.cancel()
 	g.closeServers(c)
 
-	if !g.ended(endMost) {
+	if !g.awaitBackground(backgroundTimeout) {
 		logrus.WithFields(logrus.Fields{"event": "stopIncomplete", "name": g.settings.Name}).Warn()
 	}
 
@@ -61,26 +60,26 @@
 
 // closeServers closes the listeners and the connections.
 //
-// A call counts as ended before the library has written the last of its answer. Closing
-// its connection at once would break an answer off that its target had given; so the
-// connections that are in use are waited for.
+// A call counts as ended before the HTTP library has written the last part of its response.
+// Closing its connection at once would truncate the response; so connections in use may finish
+// within flushTimeout.
 func (g *Gatekeeper) closeServers(c context.Context) {
-	c, stop := context.WithTimeout(c, flushMost)
+	c, stop := context.WithTimeout(c, flushTimeout)
 	defer stop()
 
-	_ = g.callers.Shutdown(c) // What is left is closed now.
-	_ = g.callers.Close()
-	_ = g.ready.Close()
-	_ = g.metrics.Close()
+	_ = g.callerServer.Shutdown(c) // Remaining connections are closed next.
+	_ = g.callerServer.Close()
+	_ = g.readyServer.Close()
+	_ = g.metricsServer.Close()
 }
 
-// ended waits for what runs in the background, at most for a time, and says whether it has
-// ended. Something that hangs there must not keep a stopped process until it is killed.
-func (g *Gatekeeper) ended(most time.Duration) bool {
+// awaitBackground waits for the background goroutines up to a time, and reports whether they
+// ended. A goroutine that hangs must not delay the exit until the process is killed.
+func (g *Gatekeeper) awaitBackground(most time.Duration) bool {
 	d := make(chan struct{})
 
 	go func() {
-		g.group.Wait()
+		g.background.Wait()
 		close(d)
 	}()
 
--- a/internal/gatekeeper/target_sink_test.go
+++ b/internal/gatekeeper/target_handler_test.go
@@ -22,13 +22,13 @@
 
 func (c counts) Unusable(stream, reason string) { c[stream+" "+reason]++ }
 
-// sinkOf returns a targetSink whose records are the name of a group, a minus before it when
-// the target is about to leave; other values can't be used.
-func sinkOf(f *facts) (*targetSink, counts) {
+// newTestTargetHandler returns a targetHandler whose records contain the name of a group, prefixed
+// with a minus when the target is draining; values that begin with "bad" are invalid.
+func newTestTargetHandler(f *state) (*targetHandler, counts) {
 	c := counts{}
 
-	return &targetSink{
-		facts: f, marks: newMarks(), refusals: &refusals{stream: "targets", counter: c},
+	return &targetHandler{
+		state: f, records: newSeenRecords(), refusals: &refusalReporter{stream: "targets", counter: c},
 		decode: func(key string, b []byte) (enroller.Target, error) {
 			if strings.HasPrefix(string(b), "bad") {
 				return enroller.Target{}, &watcher.Unusable{Fault: watcher.BadValue, Field: "state"}
@@ -41,13 +41,13 @@
 	}, c
 }
 
-// lists returns facts that have read a list of targets in the group g, at the offsets from 1.
-func lists(t *testing.T, ids ...string) (*facts, *targetSink, counts) {
+// newTestState returns a state that has read targets of the group g, at offsets from 1.
+func newTestState(t *testing.T, ids ...string) (*state, *targetHandler, counts) {
 	t.Helper()
 
-	f := newFacts()
-	f.dropped = func(*enroller.Roster) {}
-	s, c := sinkOf(f)
+	f := newState()
+	f.onRosterChange = func(*enroller.Roster) {}
+	s, c := newTestTargetHandler(f)
 
 	var l []watcher.Record
 	for n, id := range ids {
@@ -61,27 +61,27 @@
 	return f, s, c
 }
 
-func keys(f *facts) []string { return slices.Sorted(maps.Keys(f.Registry().Known)) }
+func keys(f *state) []string { return slices.Sorted(maps.Keys(f.Registry().Known)) }
 
-// A user would see calls fail at a target that is none: another writer has written over its
-// entry, and the entry before it stayed in force, or was held as if the list had been away.
-// It is dropped at once; the others hold; and it is back with the next good entry.
-func TestEntryThatIsWrittenOver(t *testing.T) {
-	for name, write := range map[string]func(s *targetSink) error{
-		"by a change": func(s *targetSink) error {
+// Guards against calls to a target whose entry another writer has overwritten: the former entry
+// remained in force, or was retained as after an outage of the list. The target is dropped at once,
+// the others remain, and the next valid entry restores it.
+func TestOverwrittenEntryIsDropped(t *testing.T) {
+	for name, write := range map[string]func(s *targetHandler) error{
+		"in a change": func(s *targetHandler) error {
 			s.Change(watcher.Record{Key: "a", Value: []byte("bad"), Offset: 5})
 
 			return nil
 		},
-		"in a whole list": func(s *targetSink) error {
+		"in a full list": func(s *targetHandler) error {
 			return s.Reset([]watcher.Record{{Key: "a", Value: []byte("bad"), Offset: 5}, {Key: "b", Value: []byte("g"), Offset: 2}}, 6)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
 			h := hearer.New(t)
-			f, s, c := lists(t, "a", "b")
-			s.Read(time.Minute) // Entries that vanish now are held.
+			f, s, c := newTestState(t, "a", "b")
+			s.Read(time.Minute) // Entries that vanish now are retained for the grace period.
 
 			i.NoErr(write(s))
 			s.Read(0)
@@ -99,12 +99,12 @@
 	}
 }
 
-// An entry of another writer stands for days, and each whole list has it: a line and a count
-// of each reading would hide what changes.
-func TestRefusedEntryIsToldOnceForEachChange(t *testing.T) {
+// Guards against a log line and a count for each read of an invalid entry that remains for days and
+// is repeated in every full list: they would hide changes.
+func TestRefusedEntryIsReportedOncePerChange(t *testing.T) {
 	i := is.New(t)
 	h := hearer.New(t)
-	_, s, c := lists(t)
+	_, s, c := newTestState(t)
 
 	for n := range 3 {
 		i.NoErr(s.Reset([]watcher.Record{{Key: "a", Value: []byte("bad"), Offset: 5}}, int64(6+n)))
@@ -117,9 +117,9 @@
 	i.Equal(len(h.AllEntries()), 2)
 }
 
-// The disk is full and the lines that matter are late: another program writes a thousand
-// entries a second that can't be used, and each got a line and a place in memory for good.
-func TestWriterThatNeverStops(t *testing.T) {
+// Guards against a full disk, late log lines and unbounded memory: another program wrote a thousand
+// invalid entries a second, and each was logged and remembered forever.
+func TestContinuousInvalidWrites(t *testing.T) {
 	const (
 		seconds = 60
 		rate    = 1000
@@ -131,10 +131,10 @@
 	}{
 		"one key":   {func(int) string { return "a" }, func(int) string { return "bad" }},
 		"many keys": {strconv.Itoa, func(int) string { return "bad" }},
-		"good between": {func(int) string { return "a" }, func(n int) string {
+		"valid records between": {func(int) string { return "a" }, func(n int) string {
 			return []string{"bad", "g"}[n%2]
 		}},
-		"dropped between": {func(n int) string { return strconv.Itoa(n / 2) }, func(n int) string {
+		"deletions between": {func(n int) string { return strconv.Itoa(n / 2) }, func(n int) string {
 			return []string{"bad", ""}[n%2]
 		}},
 	} {
@@ -142,7 +142,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				i := is.New(t)
 				h := hearer.New(t)
-				_, s, c := lists(t, "b")
+				_, s, c := newTestState(t, "b")
 				bad := 0
 
 				for n := range seconds * rate {
@@ -162,31 +162,31 @@
 				time.Sleep(time.Minute)
 				s.Read(0)
 
-				told, unsaid := 0, 0
+				logged, suppressed := 0, 0
 
 				for _, e := range h.AllEntries() {
 					switch e.Data["event"] {
 					case "targetRefused":
-						told++
+						logged++
 					case "refusalsUnsaid":
-						unsaid += e.Data["records"].(int)
+						suppressed += e.Data["records"].(int)
 					}
 				}
 
 				i.True(len(h.AllEntries()) <= lineBurst+2*seconds)
-				i.Equal(told+unsaid, bad)
+				i.Equal(logged+suppressed, bad)
 				i.Equal(c["targets badValue"], bad)
-				i.True(len(s.marks.keys) <= maxUnused+1)
+				i.True(len(s.records.keys) <= maxUnapplied+1)
 			})
 		})
 	}
 }
 
-// An instance grows until it is ended: targets come and go, it learns of it by whole lists
-// alone, and remembers each that ever was.
-func TestTargetsThatLeftAreForgotten(t *testing.T) {
+// Guards against memory that grows until the process is killed: targets come and go in full lists
+// only, and each was remembered forever.
+func TestDepartedTargetsAreForgotten(t *testing.T) {
 	i := is.New(t)
-	_, s, _ := lists(t)
+	_, s, _ := newTestState(t)
 
 	const each = 1000
 
@@ -199,13 +199,13 @@
 		i.NoErr(s.Reset(l, (n+1)*each+1))
 	}
 
-	i.True(len(s.marks.keys) <= maxUnused+each)
+	i.True(len(s.records.keys) <= maxUnapplied+each)
 }
 
-// A user would see calls go to a target that left, or none to one that came: the platform
-// answers a whole list from an older state, and names an end that is not older. It is not
-// taken; what was known stands.
-func TestListFromAnOlderState(t *testing.T) {
+// Guards against calls to a target that left, or none to one that joined: the platform returns a
+// full list from an older state with an end that is not older. The list is rejected, and the
+// known targets remain.
+func TestStaleListIsRejected(t *testing.T) {
 	for name, x := range map[string]struct {
 		list []watcher.Record
 		end  int64
@@ -214,16 +214,16 @@
 	}{
 		"older entry of a target":     {[]watcher.Record{{Key: "a", Value: []byte("-g"), Offset: 1}, {Key: "b", Value: []byte("g"), Offset: 2}}, 9, true, []string{"a", "b", "c"}},
 		"target that left":            {[]watcher.Record{{Key: "a", Value: []byte("g"), Offset: 5}, {Key: "b", Value: []byte("g"), Offset: 2}, {Key: "d", Value: []byte("g"), Offset: 4}}, 9, true, []string{"a", "b", "c"}},
-		"refused one was well":        {[]watcher.Record{{Key: "a", Value: []byte("g"), Offset: 5}, {Key: "b", Value: []byte("g"), Offset: 2}, {Key: "e", Value: []byte("g"), Offset: 3}}, 9, true, []string{"a", "b", "c"}},
-		"ends before one that came":   {[]watcher.Record{{Key: "a", Value: []byte("g"), Offset: 5}, {Key: "b", Value: []byte("g"), Offset: 2}}, 8, true, []string{"a", "b", "c"}},
+		"refused entry as valid":      {[]watcher.Record{{Key: "a", Value: []byte("g"), Offset: 5}, {Key: "b", Value: []byte("g"), Offset: 2}, {Key: "e", Value: []byte("g"), Offset: 3}}, 9, true, []string{"a", "b", "c"}},
+		"end before a joined target":  {[]watcher.Record{{Key: "a", Value: []byte("g"), Offset: 5}, {Key: "b", Value: []byte("g"), Offset: 2}}, 8, true, []string{"a", "b", "c"}},
 		"same state":                  {[]watcher.Record{{Key: "a", Value: []byte("g"), Offset: 5}, {Key: "b", Value: []byte("g"), Offset: 2}, {Key: "c", Value: []byte("g"), Offset: 8}}, 9, false, []string{"a", "b", "c"}},
 		"newer state":                 {[]watcher.Record{{Key: "a", Value: []byte("g"), Offset: 5}, {Key: "d", Value: []byte("g"), Offset: 11}}, 12, false, []string{"a", "d"}},
-		"one key twice, newest first": {[]watcher.Record{{Key: "a", Value: []byte("g"), Offset: 5}, {Key: "a", Value: []byte("-g"), Offset: 1}}, 12, false, []string{"a"}},
-		"one key twice, newest last":  {[]watcher.Record{{Key: "a", Value: []byte("-g"), Offset: 1}, {Key: "a", Value: []byte("g"), Offset: 5}}, 12, false, []string{"a"}},
+		"duplicate key, newest first": {[]watcher.Record{{Key: "a", Value: []byte("g"), Offset: 5}, {Key: "a", Value: []byte("-g"), Offset: 1}}, 12, false, []string{"a"}},
+		"duplicate key, newest last":  {[]watcher.Record{{Key: "a", Value: []byte("-g"), Offset: 1}, {Key: "a", Value: []byte("g"), Offset: 5}}, 12, false, []string{"a"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
-			f, s, _ := lists(t, "a", "b")
+			f, s, _ := newTestState(t, "a", "b")
 
 			for n, r := range []watcher.Record{
 				{Key: "e", Value: []byte("g")}, {Key: "d", Value: []byte("g")}, {Key: "a", Value: []byte("g")},
--- a/internal/quarantiner/bench_test.go
+++ b/internal/quarantiner/bench_test.go
@@ -9,46 +9,46 @@
 	"github.com/auburntray/auburntray/internal/quarantiner"
 )
 
-// full returns a Quarantiner that remembers as many calls as it may, with three ends each.
-func full() *quarantiner.Quarantiner {
+// fullQuarantiner returns a Quarantiner at its limit of calls, with three crashes each.
+func fullQuarantiner() *quarantiner.Quarantiner {
 	s := quarantiner.DefaultSettings()
 	q := quarantiner.New(s)
 
-	for i := range s.Most {
+	for i := range s.MaxCalls {
 		for n := range 3 {
-			q.Ended(start().Add(time.Duration(n)*time.Second), digester.Digest(i), enroller.Name(n))
+			q.RecordCrash(start().Add(time.Duration(n)*time.Second), digester.Digest(i), enroller.Name(n))
 		}
 	}
 
 	return q
 }
 
-func BenchmarkCome(b *testing.B) {
-	q := full()
+func BenchmarkCheck(b *testing.B) {
+	q := fullQuarantiner()
 	now := start().Add(time.Minute)
 
 	b.ReportAllocs()
 
 	for i := 0; b.Loop(); i++ {
-		q.Come(now, digester.Digest(i%8192))
+		q.Check(now, digester.Digest(i%8192))
 	}
 }
 
-func BenchmarkState(b *testing.B) {
-	q := full()
+func BenchmarkFingerprint(b *testing.B) {
+	q := fullQuarantiner()
 
 	b.ReportAllocs()
 
 	for b.Loop() {
-		q.State()
+		q.Fingerprint()
 	}
 }
 
-// BenchmarkFull shows by its allocated bytes what a full Quarantiner takes at most.
+// BenchmarkFull shows the memory of a full Quarantiner by its allocated bytes.
 func BenchmarkFull(b *testing.B) {
 	b.ReportAllocs()
 
 	for b.Loop() {
-		full()
+		fullQuarantiner()
 	}
 }
--- a/internal/quarantiner/quarantiner.go
+++ b/internal/quarantiner/quarantiner.go
@@ -1,13 +1,13 @@
-// Package quarantiner decides which calls are held back because targets end under them.
+// Package quarantiner decides which calls are quarantined because targets crash while running them.
 //
-// One call can end every target that begins to run it, and comes again at other instances
-// under other IDs. When a target ends, each call in flight there may be the cause: of 32 of
-// them 31 are not. A call that was in flight at the ends of several targets, and was served
-// by none since, is the cause with near certainty, and is held back.
+// A single call can crash every target that begins to run it, and is retried through other instances
+// under other IDs. When a target crashes, any of the calls in flight there may be the cause: of 32
+// calls, 31 are innocent. A call that was in flight at the crashes of several targets, and was served
+// by none since, is the cause with near certainty, and is quarantined.
 //
-// What is known is a set of ends, each of one process under one call, and which of them are
-// excused. Sets are joined by taking all ends of both, so instances may tell each other in
-// any order and any number of times.
+// The state is a set of crashes, each of one process while one call was in flight there, some of which
+// are cleared because the call was served since. Merging states is a set union, so instances may
+// exchange them in any order and any number of times.
 package quarantiner
 
 import (
@@ -18,71 +18,69 @@
 	"github.com/auburntray/auburntray/internal/enroller"
 )
 
-// Settings bounds a Quarantiner.
+// Settings configures a Quarantiner.
 type Settings struct {
-	// Ends is under how many ends of targets a call is held back.
-	Ends int
-	// Apart is how far apart two ends under a call that was served before must be to count as
-	// two. Targets that lose their power together end together, and calls that look alike, a
-	// page that one customer asks for all the time, may be in flight at all of them.
-	Apart time.Duration
-	// Rests are how long after its last end a call that is held back is tried again, and how
-	// long after each trial that failed. After the last it is not tried any more: each trial
-	// of a call that does end targets costs one, and the users allow three.
-	Rests []time.Duration
-	// Keep is how long a call that does not come again is remembered.
-	Keep time.Duration
-	// Most is how many calls are remembered.
-	Most int
+	// CrashThreshold is the number of crashes at which a call is quarantined.
+	CrashThreshold int
+	// MinSeparation is the smallest time between two crashes that count as two, for a call that was served
+	// before. Targets that lose power together crash together, and calls with the same digest, such
+	// as a page that one customer requests constantly, may be in flight at all of them.
+	MinSeparation time.Duration
+	// TrialDelays are the times from the last crash to the next trial of a quarantined call, indexed
+	// by the number of its failed trials. After the last one there are no more trials: each trial of
+	// a call that does crash targets costs a target, and three of them are acceptable.
+	TrialDelays []time.Duration
+	// Retention is how long a call is remembered after it was last seen.
+	Retention time.Duration
+	// MaxCalls is the largest number of remembered calls.
+	MaxCalls int
 }
 
-// DefaultSettings returns the settings that gateways use.
+// DefaultSettings returns the settings used by gateways.
 func DefaultSettings() Settings {
 	return Settings{
-		// A bystander of a call that ends targets is now and then in flight at the end of a
-		// second target, when it was sent on to where the same call went too. Each further
-		// end that is waited for costs a target with all its calls.
-		Ends: 3,
-		// The calls at a target whose power is gone break with its connections, or at the
-		// next thing that is sent on them.
-		Apart: time.Second,
-		// A target is back after seconds, a model or service is repaired within minutes at
-		// best, and within an hour or two for the most part.
-		Rests: []time.Duration{time.Minute, 10 * time.Minute, 100 * time.Minute},
-		// Longer than any pause after which a caller is told to come back.
-		Keep: 4 * time.Hour,
+		// An innocent call is occasionally in flight at two crashes, when its retry reaches the same
+		// target as a retry of the cause. Each further crash costs a target with all its calls.
+		CrashThreshold: 3,
+		// The calls at a target that lost power fail with its connections, or at the next write.
+		MinSeparation: time.Second,
+		// A target restarts within seconds; a model or service is repaired within minutes at best,
+		// and mostly within one to two hours.
+		TrialDelays: []time.Duration{time.Minute, 10 * time.Minute, 100 * time.Minute},
+		// Longer than any time after which a caller is told to retry.
+		Retention: 4 * time.Hour,
 		// All calls in flight at a third of 600 targets with 20 calls each.
-		Most: 4096,
+		MaxCalls: 4096,
 	}
 }
 
-// Quarantiner remembers calls under which targets have ended. It is not safe for concurrent
-// use.
+// Quarantiner remembers the calls that were in flight when targets crashed. It is not safe for
+// concurrent use.
 type Quarantiner struct {
 	settings Settings
 	calls    map[digester.Digest]*Record
 	served   served
 }
 
-// New returns a Quarantiner that knows of no call.
+// New returns a Quarantiner without any calls.
 func New(s Settings) *Quarantiner {
 	return &Quarantiner{settings: s, calls: make(map[digester.Digest]*Record)}
 }
 
-// Come returns what a call may do that has come now, or comes to be sent once more.
-func (q *Quarantiner) Come(now time.Time, d digester.Digest) Verdict {
+// Check returns the verdict on a call that arrived or is about to be retried, and marks it as seen.
+func (q *Quarantiner) Check(now time.Time, d digester.Digest) Verdict {
 	r, ok := q.calls[d]
 	if !ok {
 		return Verdict{}
 	}
 
-	r.Seen = now
+	r.LastSeen = now
 
-	return q.Look(now, d)
+	return q.Peek(now, d)
 }
 
-// Look returns the same of a call that has not come.
-func (q *Quarantiner) Look(now time.Time, d digester.Digest) Verdict {
+// Peek returns the verdict on a call without marking it as seen.
+func (q *Quarantiner) Peek(now time.Time, d digester.Digest) Verdict {
 	r, ok := q.calls[d]
 	if !ok {
 		return Verdict{}
@@ -90,31 +88,31 @@
 
 	v := q.verdict(r)
 
-	if n := v.Ends - q.settings.Ends; n >= 0 && n < len(q.settings.Rests) {
-		v.Back = max(v.Last.Add(q.settings.Rests[n]).Sub(now), 0)
-		v.Due = v.Back == 0
+	if n := v.Crashes - q.settings.CrashThreshold; n >= 0 && n < len(q.settings.TrialDelays) {
+		v.TrialIn = max(v.LastCrash.Add(q.settings.TrialDelays[n]).Sub(now), 0)
+		v.TrialDue = v.TrialIn == 0
 	}
 
 	return v
 }
 
-// Ended takes that a process has ended while a call was in flight there, and returns what the
-// call may do from now on, and whether the end was not known.
-func (q *Quarantiner) Ended(now time.Time, d digester.Digest, p enroller.Name) (Verdict, bool) {
+// RecordCrash records that a process crashed while a call was in flight there. It returns the new verdict,
+// and whether the crash was new or changed.
+func (q *Quarantiner) RecordCrash(now time.Time, d digester.Digest, p enroller.Name) (Verdict, bool) {
 	r, known := q.calls[d]
 	if !known {
-		r = q.remember(now, d)
+		r = q.insert(now, d)
 	}
 
-	r.Seen = now
-	added := r.add(End{Process: p, At: now, Known: q.served.has(d)})
+	r.LastSeen = now
+	added := r.add(Crash{Process: p, At: now, ServedBefore: q.served.contains(d)})
 
 	return q.verdict(r), added
 }
 
-// Served takes that a call was answered in full: it caused none of the ends that are known.
-// It says whether there were any.
-func (q *Quarantiner) Served(d digester.Digest) bool {
+// RecordServed records that a call was answered in full, which clears all its known crashes: it caused
+// none of them. It reports whether any crash was not cleared before.
+func (q *Quarantiner) RecordServed(d digester.Digest) bool {
 	q.served.add(d)
 
 	r, ok := q.calls[d]
@@ -124,31 +122,31 @@
 
 	var changed bool
 
-	for i := range r.Ends {
-		changed = changed || !r.Ends[i].Excused
-		r.Ends[i].Excused = true
+	for i := range r.Crashes {
+		changed = changed || !r.Crashes[i].Cleared
+		r.Crashes[i].Cleared = true
 	}
 
 	return changed
 }
 
-// Learn joins what another instance knows, and returns the calls that are held back since, and
-// whether anything was new.
-func (q *Quarantiner) Learn(now time.Time, l []Record) (held []digester.Digest, changed bool) {
+// Merge adds the records of another instance, and returns the calls that are newly quarantined, and
+// whether anything changed.
+func (q *Quarantiner) Merge(now time.Time, l []Record) (held []digester.Digest, changed bool) {
 	for _, x := range l {
-		if now.Sub(x.Seen) >= q.settings.Keep || len(x.Ends) == 0 {
+		if now.Sub(x.LastSeen) >= q.settings.Retention || len(x.Crashes) == 0 {
 			continue
 		}
 
 		r, ok := q.calls[x.Call]
 		if !ok {
-			r = q.remember(x.Seen, x.Call)
+			r = q.insert(x.LastSeen, x.Call)
 		}
 
-		b := q.verdict(r).Standing
-		changed = r.join(x) || changed
+		b := q.verdict(r).Status
+		changed = r.merge(x) || changed
 
-		if b != Held && q.verdict(r).Standing == Held {
+		if b != Quarantined && q.verdict(r).Status == Quarantined {
 			held = append(held, x.Call)
 		}
 	}
@@ -156,23 +154,23 @@
 	return held, changed
 }
 
-// Records returns the calls under which two ends or more count, at most so many, those with most
-// ends before the others. One end is nearly always that of a bystander, and joins the others
-// once there is a second.
+// Records returns the calls with two or more counted crashes, at most the given number, those with
+// the most crashes first. A single crash nearly always belongs to an innocent call; it is included
+// once there is a second one.
 func (q *Quarantiner) Records(most int) []Record {
-	o := slices.DeleteFunc(q.sorted(), func(r Record) bool { return !q.grave(&r) })
+	o := slices.DeleteFunc(q.sorted(), func(r Record) bool { return !q.replicated(&r) })
 	slices.Reverse(o)
 
 	return o[:min(len(o), most)]
 }
 
-// grave says that a call is among the Records.
-func (q *Quarantiner) grave(r *Record) bool {
-	return q.verdict(r).Ends > 1
+// replicated reports whether a call is included in Records, which are sent to other instances.
+func (q *Quarantiner) replicated(r *Record) bool {
+	return q.verdict(r).Crashes > 1
 }
 
-// Of returns what is known of some calls.
-func (q *Quarantiner) Of(l []digester.Digest) []Record {
+// RecordsOf returns the records of the given calls that are known.
+func (q *Quarantiner) RecordsOf(l []digester.Digest) []Record {
 	var o []Record
 
 	for _, d := range l {
@@ -184,30 +182,30 @@
 	return o
 }
 
-// Forget drops the calls that have not come for long.
-func (q *Quarantiner) Forget(now time.Time) {
+// Expire removes the calls that were not seen within the retention period.
+func (q *Quarantiner) Expire(now time.Time) {
 	for d, r := range q.calls {
-		if now.Sub(r.Seen) >= q.settings.Keep {
+		if now.Sub(r.LastSeen) >= q.settings.Retention {
 			delete(q.calls, d)
 		}
 	}
 }
 
-// remember makes room for a call and returns its empty record.
-func (q *Quarantiner) remember(seen time.Time, d digester.Digest) *Record {
-	if len(q.calls) >= q.settings.Most {
-		q.shed()
+// insert adds an empty record for a call, and evicts others if the limit is reached.
+func (q *Quarantiner) insert(seen time.Time, d digester.Digest) *Record {
+	if len(q.calls) >= q.settings.MaxCalls {
+		q.evict()
 	}
 
-	r := &Record{Call: d, Seen: seen}
+	r := &Record{Call: d, LastSeen: seen}
 	q.calls[d] = r
 
 	return r
 }
 
-// shed drops an eighth of the calls, those that matter least. Whoever sends ever new calls that
-// end targets can so push out neither the memory nor the calls that are held back.
-func (q *Quarantiner) shed() {
+// evict removes the least relevant eighth of the calls. A client that keeps sending new calls that
+// crash targets can thus neither exhaust the memory nor displace quarantined calls.
+func (q *Quarantiner) evict() {
 	const part = 8
 
 	for _, r := range q.sorted()[:max(len(q.calls)/part, 1)] {
@@ -215,7 +213,8 @@
 	}
 }
 
-// sorted returns what is known, what matters least first.
+// sorted returns copies of all records, those with the fewest counted crashes first, then the least
+// recently seen.
 func (q *Quarantiner) sorted() []Record {
 	o := make([]Record, 0, len(q.calls))
 	for _, r := range q.calls {
@@ -223,42 +222,42 @@
 	}
 
 	slices.SortFunc(o, func(a, b Record) int {
-		if n := q.verdict(&a).Ends - q.verdict(&b).Ends; n != 0 {
+		if n := q.verdict(&a).Crashes - q.verdict(&b).Crashes; n != 0 {
 			return n
 		}
 
-		return a.Seen.Compare(b.Seen)
+		return a.LastSeen.Compare(b.LastSeen)
 	})
 
 	return o
 }
 
-// verdict judges a call by the ends that count: not excused, and, if it was served before,
-// apart from each other.
+// verdict evaluates a call by the crashes that count: those that are not cleared and, if the call was
+// served before one of them, are separated by the required time.
 func (q *Quarantiner) verdict(r *Record) Verdict {
 	var (
 		v     Verdict
 		apart time.Duration
 	)
 
-	if slices.ContainsFunc(r.Ends, func(e End) bool { return e.Known }) {
-		apart = q.settings.Apart
+	if slices.ContainsFunc(r.Crashes, func(e Crash) bool { return e.ServedBefore }) {
+		apart = q.settings.MinSeparation
 	}
 
-	for _, e := range r.Ends {
-		if e.Excused || v.Ends > 0 && e.At.Sub(v.Last) < apart {
+	for _, e := range r.Crashes {
+		if e.Cleared || v.Crashes > 0 && e.At.Sub(v.LastCrash) < apart {
 			continue
 		}
 
-		v.Ends++
-		v.Last = e.At
+		v.Crashes++
+		v.LastCrash = e.At
 	}
 
 	switch {
-	case v.Ends >= q.settings.Ends:
-		v.Standing = Held
-	case v.Ends > 0:
-		v.Standing = Suspected
+	case v.Crashes >= q.settings.CrashThreshold:
+		v.Status = Quarantined
+	case v.Crashes > 0:
+		v.Status = Suspected
 	}
 
 	return v
--- a/internal/quarantiner/quarantiner_test.go
+++ b/internal/quarantiner/quarantiner_test.go
@@ -13,41 +13,41 @@
 
 const call = digester.Digest(7)
 
-// start is when a test begins.
+// start returns the time at which a test begins.
 func start() time.Time { return time.Unix(1_700_000_000, 0) }
 
-// step is one thing that happens to a call: a process ends under it, or it is served.
+// step is an event of a call: a process crashes while running it, or it is served.
 type step struct {
-	at     time.Duration
-	ended  enroller.Name
-	served bool
+	at      time.Duration
+	crashed enroller.Name
+	served  bool
 }
 
-// A call that ends each target that runs it must be told from the calls that were in flight
-// there by chance: they are served elsewhere, or meet no second end. Calls that look alike
-// (the same page, asked for by the same customer) are in flight at every end, and served in
-// between.
+// Guards against innocent calls that are quarantined with the one that crashes each target that runs
+// it. Calls that were in flight there by chance are served elsewhere, or see no second crash. Calls
+// with the same digest (one page, requested by one customer) are in flight at every crash, and are
+// served in between.
 func TestWhichCallsAreHeldBack(t *testing.T) {
 	for name, x := range map[string]struct {
-		steps []step
-		want  quarantiner.Standing
-		ends  int
+		steps   []step
+		want    quarantiner.Status
+		crashes int
 	}{
-		"nothing has ended":                     {nil, quarantiner.Free, 0},
-		"one end":                               {[]step{{ended: 1}}, quarantiner.Suspected, 1},
-		"two ends":                              {[]step{{ended: 1}, {at: time.Second, ended: 2}}, quarantiner.Suspected, 2},
-		"three ends":                            {[]step{{ended: 1}, {at: time.Second, ended: 2}, {at: 2 * time.Second, ended: 3}}, quarantiner.Held, 3},
-		"three ends in minutes":                 {[]step{{ended: 1}, {at: 5 * time.Minute, ended: 2}, {at: 10 * time.Minute, ended: 3}}, quarantiner.Held, 3},
-		"the same end from three calls":         {[]step{{ended: 1}, {at: time.Second, ended: 1}, {at: 2 * time.Second, ended: 1}}, quarantiner.Suspected, 1},
-		"served after one":                      {[]step{{ended: 1}, {at: time.Second, served: true}}, quarantiner.Free, 0},
-		"served between the ends":               {[]step{{ended: 1}, {at: time.Second, ended: 2}, {at: 2 * time.Second, served: true}, {at: 3 * time.Second, ended: 3}}, quarantiner.Suspected, 1},
-		"served when it is held back":           {[]step{{ended: 1}, {at: time.Second, ended: 2}, {at: 2 * time.Second, ended: 3}, {at: 3 * time.Second, served: true}}, quarantiner.Free, 0},
-		"served before the ends":                {[]step{{served: true}, {at: 1, ended: 1}, {at: 2 * time.Second, ended: 2}, {at: 4 * time.Second, ended: 3}}, quarantiner.Held, 3},
-		"an end that is known to be excused":    {[]step{{ended: 1}, {at: time.Second, served: true}, {at: 2 * time.Second, ended: 1}}, quarantiner.Free, 0},
-		"three at once, never served before":    {[]step{{ended: 1}, {at: time.Millisecond, ended: 2}, {at: 3 * time.Millisecond, ended: 3}}, quarantiner.Held, 3},
-		"all targets at once, served before":    {[]step{{served: true}, {at: 1, ended: 1}, {at: time.Millisecond, ended: 2}, {at: 3 * time.Millisecond, ended: 3}, {at: 9 * time.Millisecond, ended: 4}}, quarantiner.Suspected, 1},
-		"all at once, and two more":             {[]step{{served: true}, {at: 1, ended: 1}, {at: time.Millisecond, ended: 2}, {at: 2 * time.Second, ended: 3}, {at: 4 * time.Second, ended: 4}}, quarantiner.Held, 3},
-		"many excused ends, then three of them": {append(excused(20), step{at: time.Hour, ended: 101}, step{at: time.Hour + time.Second, ended: 102}, step{at: time.Hour + 2*time.Second, ended: 103}), quarantiner.Held, 3},
+		"no crash":                           {nil, quarantiner.Free, 0},
+		"one crash":                          {[]step{{crashed: 1}}, quarantiner.Suspected, 1},
+		"two crashes":                        {[]step{{crashed: 1}, {at: time.Second, crashed: 2}}, quarantiner.Suspected, 2},
+		"three crashes":                      {[]step{{crashed: 1}, {at: time.Second, crashed: 2}, {at: 2 * time.Second, crashed: 3}}, quarantiner.Quarantined, 3},
+		"three crashes in minutes":           {[]step{{crashed: 1}, {at: 5 * time.Minute, crashed: 2}, {at: 10 * time.Minute, crashed: 3}}, quarantiner.Quarantined, 3},
+		"the same crash three times":         {[]step{{crashed: 1}, {at: time.Second, crashed: 1}, {at: 2 * time.Second, crashed: 1}}, quarantiner.Suspected, 1},
+		"served after one crash":             {[]step{{crashed: 1}, {at: time.Second, served: true}}, quarantiner.Free, 0},
+		"served between crashes":             {[]step{{crashed: 1}, {at: time.Second, crashed: 2}, {at: 2 * time.Second, served: true}, {at: 3 * time.Second, crashed: 3}}, quarantiner.Suspected, 1},
+		"served while quarantined":           {[]step{{crashed: 1}, {at: time.Second, crashed: 2}, {at: 2 * time.Second, crashed: 3}, {at: 3 * time.Second, served: true}}, quarantiner.Free, 0},
+		"served before the crashes":          {[]step{{served: true}, {at: 1, crashed: 1}, {at: 2 * time.Second, crashed: 2}, {at: 4 * time.Second, crashed: 3}}, quarantiner.Quarantined, 3},
+		"a crash that is already cleared":    {[]step{{crashed: 1}, {at: time.Second, served: true}, {at: 2 * time.Second, crashed: 1}}, quarantiner.Free, 0},
+		"three at once, never served before": {[]step{{crashed: 1}, {at: time.Millisecond, crashed: 2}, {at: 3 * time.Millisecond, crashed: 3}}, quarantiner.Quarantined, 3},
+		"all targets at once, served before": {[]step{{served: true}, {at: 1, crashed: 1}, {at: time.Millisecond, crashed: 2}, {at: 3 * time.Millisecond, crashed: 3}, {at: 9 * time.Millisecond, crashed: 4}}, quarantiner.Suspected, 1},
+		"all targets at once, and two more":  {[]step{{served: true}, {at: 1, crashed: 1}, {at: time.Millisecond, crashed: 2}, {at: 2 * time.Second, crashed: 3}, {at: 4 * time.Second, crashed: 4}}, quarantiner.Quarantined, 3},
+		"many cleared crashes, then three":   {append(clearedCrashes(20), step{at: time.Hour, crashed: 101}, step{at: time.Hour + time.Second, crashed: 102}, step{at: time.Hour + 2*time.Second, crashed: 103}), quarantiner.Quarantined, 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -57,187 +57,187 @@
 			for _, s := range x.steps {
 				now = start().Add(s.at)
 				if s.served {
-					q.Served(call)
+					q.RecordServed(call)
 				} else {
-					q.Ended(now, call, s.ended)
+					q.RecordCrash(now, call, s.crashed)
 				}
 			}
 
-			v := q.Come(now, call)
-			is.Equal(v.Standing, x.want)
-			is.Equal(v.Ends, x.ends)
-			is.Equal(q.Come(now, call+1).Standing, quarantiner.Free)
+			v := q.Check(now, call)
+			is.Equal(v.Status, x.want)
+			is.Equal(v.Crashes, x.crashes)
+			is.Equal(q.Check(now, call+1).Status, quarantiner.Free)
 		})
 	}
 }
 
-// excused are ends under a call that was served after each.
-func excused(n int) []step {
+// clearedCrashes returns crashes, each followed by the call being served.
+func clearedCrashes(n int) []step {
 	var o []step
 
 	for i := range n {
 		at := time.Duration(i) * time.Second
-		o = append(o, step{at: at, ended: enroller.Name(i + 1)}, step{at: at + time.Millisecond, served: true})
+		o = append(o, step{at: at, crashed: enroller.Name(i + 1)}, step{at: at + time.Millisecond, served: true})
 	}
 
 	return o
 }
 
-// Two instances see ends of their own and tell each other, late, twice, and in any order. Both
-// come to the same.
-func TestInstancesComeToTheSame(t *testing.T) {
+// Guards against instances that disagree after exchanging the crashes that each observed, late,
+// twice and in any order.
+func TestInstancesAgreeAfterMerge(t *testing.T) {
 	for name, x := range map[string]struct {
 		here, there []step
-		want        quarantiner.Standing
+		want        quarantiner.Status
 	}{
-		"two ends here, one there":      {[]step{{ended: 1}, {at: time.Second, ended: 2}}, []step{{at: 2 * time.Second, ended: 3}}, quarantiner.Held},
-		"the same ends":                 {[]step{{ended: 1}, {at: time.Second, ended: 2}}, []step{{ended: 1}, {at: time.Second, ended: 2}}, quarantiner.Suspected},
-		"excused there":                 {[]step{{ended: 1}, {at: time.Second, ended: 2}}, []step{{ended: 1}, {at: time.Second, ended: 2}, {served: true}}, quarantiner.Free},
-		"served there, not knowing":     {[]step{{ended: 1}, {at: time.Second, ended: 2}, {at: 2 * time.Second, ended: 3}}, []step{{served: true}}, quarantiner.Held},
-		"nothing is known there":        {[]step{{ended: 1}, {at: time.Second, ended: 2}, {at: 2 * time.Second, ended: 3}}, nil, quarantiner.Held},
-		"more ends than are remembered": {ends(0, 7), ends(7, 14), quarantiner.Held},
+		"two crashes here, one there":      {[]step{{crashed: 1}, {at: time.Second, crashed: 2}}, []step{{at: 2 * time.Second, crashed: 3}}, quarantiner.Quarantined},
+		"the same crashes":                 {[]step{{crashed: 1}, {at: time.Second, crashed: 2}}, []step{{crashed: 1}, {at: time.Second, crashed: 2}}, quarantiner.Suspected},
+		"cleared there":                    {[]step{{crashed: 1}, {at: time.Second, crashed: 2}}, []step{{crashed: 1}, {at: time.Second, crashed: 2}, {served: true}}, quarantiner.Free},
+		"served there, crashes unknown":    {[]step{{crashed: 1}, {at: time.Second, crashed: 2}, {at: 2 * time.Second, crashed: 3}}, []step{{served: true}}, quarantiner.Quarantined},
+		"no record there":                  {[]step{{crashed: 1}, {at: time.Second, crashed: 2}, {at: 2 * time.Second, crashed: 3}}, nil, quarantiner.Quarantined},
+		"more crashes than are remembered": {crashesBetween(0, 7), crashesBetween(7, 14), quarantiner.Quarantined},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			now := start().Add(time.Minute)
-			a, b := played(x.here), played(x.there)
+			a, b := quarantinerAfter(x.here), quarantinerAfter(x.there)
 
 			for range 2 {
-				b.Learn(now, a.Of([]digester.Digest{call}))
-				a.Learn(now, b.Of([]digester.Digest{call}))
+				b.Merge(now, a.RecordsOf([]digester.Digest{call}))
+				a.Merge(now, b.RecordsOf([]digester.Digest{call}))
 			}
 
-			is.Equal(a.Come(now, call).Standing, x.want)
-			is.Equal(b.Come(now, call).Standing, x.want)
-			is.Equal(a.State(), b.State())
+			is.Equal(a.Check(now, call).Status, x.want)
+			is.Equal(b.Check(now, call).Status, x.want)
+			is.Equal(a.Fingerprint(), b.Fingerprint())
 		})
 	}
 }
 
-// ends are those of the processes from one number to another.
-func ends(from, to int) []step {
+// crashesBetween returns the crashes of a range of processes, one per second.
+func crashesBetween(from, to int) []step {
 	var o []step
 	for i := from; i < to; i++ {
-		o = append(o, step{at: time.Duration(i) * time.Second, ended: enroller.Name(i + 1)})
+		o = append(o, step{at: time.Duration(i) * time.Second, crashed: enroller.Name(i + 1)})
 	}
 
 	return o
 }
 
-func played(l []step) *quarantiner.Quarantiner {
+func quarantinerAfter(l []step) *quarantiner.Quarantiner {
 	q := quarantiner.New(quarantiner.DefaultSettings())
 
 	for _, s := range l {
 		if s.served {
-			q.Served(call)
+			q.RecordServed(call)
 		} else {
-			q.Ended(start().Add(s.at), call, s.ended)
+			q.RecordCrash(start().Add(s.at), call, s.crashed)
 		}
 	}
 
 	return q
 }
 
-// Whoever is told that a call is held back learns it once.
-func TestHeldBackIsToldOnce(t *testing.T) {
+// Guards against a quarantined call that is reported as new each time its record is merged.
+func TestMergeReportsQuarantinedCallOnce(t *testing.T) {
 	is := is.New(t)
-	a, b := played(ends(0, 3)), quarantiner.New(quarantiner.DefaultSettings())
+	a, b := quarantinerAfter(crashesBetween(0, 3)), quarantiner.New(quarantiner.DefaultSettings())
 	now := start().Add(time.Minute)
 
-	l, changed := b.Learn(now, a.Records(10))
+	l, changed := b.Merge(now, a.Records(10))
 	is.Equal(l, []digester.Digest{call})
 	is.True(changed)
 
-	l, changed = b.Learn(now, a.Records(10))
+	l, changed = b.Merge(now, a.Records(10))
 	is.Equal(len(l), 0)
 	is.True(!changed)
 }
 
-// A call that has not come for long is forgotten, and no instance learns it again from
-// another that is about to forget it.
-func TestCallsAreForgotten(t *testing.T) {
+// Guards against records that never expire, because instances about to drop them pass them on.
+func TestRecordsExpire(t *testing.T) {
 	is := is.New(t)
 	s := quarantiner.DefaultSettings()
-	q := played(ends(0, 3))
-	late := start().Add(2*time.Second + s.Keep)
+	q := quarantinerAfter(crashesBetween(0, 3))
+	late := start().Add(2*time.Second + s.Retention)
 
 	l := q.Records(10)
-	q.Forget(late)
-	is.Equal(q.Come(late, call).Standing, quarantiner.Free)
+	q.Expire(late)
+	is.Equal(q.Check(late, call).Status, quarantiner.Free)
 
-	h, _ := q.Learn(late, l)
+	h, _ := q.Merge(late, l)
 	is.Equal(len(h), 0)
 	is.Equal(len(q.Records(10)), 0)
 
-	// While it comes it stays.
-	q = played(ends(0, 3))
-	q.Come(late.Add(-time.Second), call)
-	q.Forget(late)
-	is.Equal(q.Come(late, call).Standing, quarantiner.Held)
+	// A call that is still seen remains.
+	q = quarantinerAfter(crashesBetween(0, 3))
+	q.Check(late.Add(-time.Second), call)
+	q.Expire(late)
+	is.Equal(q.Check(late, call).Status, quarantiner.Quarantined)
 }
 
-// A caller makes up a new call that ends targets each time. Those that are remembered are
-// bounded, and the calls that are held back stay among them.
-func TestMemoryIsBounded(t *testing.T) {
+// Guards against memory that grows with a client that sends a new call that crashes targets each
+// time. The records are limited, and quarantined calls remain among them.
+func TestNumberOfRecordsIsLimited(t *testing.T) {
 	is := is.New(t)
 	s := quarantiner.DefaultSettings()
-	s.Most = 100
+	s.MaxCalls = 100
 	q := quarantiner.New(s)
 
 	for i := range 3 {
-		q.Ended(start().Add(time.Duration(i)*time.Second), call, enroller.Name(i))
+		q.RecordCrash(start().Add(time.Duration(i)*time.Second), call, enroller.Name(i))
 	}
 
 	for i := range 10_000 {
-		q.Ended(start().Add(time.Minute+time.Duration(i)*time.Millisecond), digester.Digest(1000+i), 1)
+		q.RecordCrash(start().Add(time.Minute+time.Duration(i)*time.Millisecond), digester.Digest(1000+i), 1)
 	}
 
 	n, held := q.Count()
-	is.True(n+held <= s.Most)
+	is.True(n+held <= s.MaxCalls)
 	is.Equal(held, 1)
-	is.Equal(q.Come(start().Add(time.Hour), call).Standing, quarantiner.Held)
-	is.Equal(q.Records(1)[0].Call, call) // It is told first.
+	is.Equal(q.Check(start().Add(time.Hour), call).Status, quarantiner.Quarantined)
+	is.Equal(q.Records(1)[0].Call, call) // It is sent first.
 }
 
-// A model was repaired, or a target's memory enlarged. A call that was held back is good again,
-// and must not be refused for ever; one that still ends targets may cost three more at most.
-func TestTheWayBack(t *testing.T) {
+// Guards against calls that are refused forever after a model was repaired or a target's memory
+// enlarged; a call that still crashes targets may cost three more at most.
+func TestTrialSchedule(t *testing.T) {
 	for name, x := range map[string]struct {
-		ends  int
-		after time.Duration
-		due   bool
-		back  time.Duration
-		// wait is what its caller is told.
-		wait time.Duration
+		crashes  int
+		after    time.Duration
+		trialDue bool
+		trialIn  time.Duration
+		// retryAfter is the time after which the caller is told to retry.
+		retryAfter time.Duration
 	}{
-		"not yet held back":        {ends: 2, after: time.Hour, wait: 500 * time.Millisecond},
-		"just held back":           {ends: 3, back: time.Minute, wait: time.Minute},
-		"within the minute":        {ends: 3, after: 40 * time.Second, back: 20 * time.Second, wait: 20 * time.Second},
-		"soon due":                 {ends: 3, after: time.Minute - time.Millisecond, back: time.Millisecond, wait: time.Second},
-		"after a minute":           {ends: 3, after: time.Minute, due: true, wait: time.Second},
-		"one trial failed":         {ends: 4, after: time.Minute, back: 9 * time.Minute, wait: 9 * time.Minute},
-		"after ten minutes":        {ends: 4, after: 10 * time.Minute, due: true, wait: time.Second},
-		"two trials failed":        {ends: 5, after: 99 * time.Minute, back: time.Minute, wait: time.Minute},
-		"after a hundred minutes":  {ends: 5, after: 100 * time.Minute, due: true, wait: time.Second},
-		"three trials have failed": {ends: 6, after: 200 * time.Minute, wait: time.Hour},
+		"not yet quarantined":      {crashes: 2, after: time.Hour, retryAfter: 500 * time.Millisecond},
+		"just quarantined":         {crashes: 3, trialIn: time.Minute, retryAfter: time.Minute},
+		"within the minute":        {crashes: 3, after: 40 * time.Second, trialIn: 20 * time.Second, retryAfter: 20 * time.Second},
+		"almost due":               {crashes: 3, after: time.Minute - time.Millisecond, trialIn: time.Millisecond, retryAfter: time.Second},
+		"after a minute":           {crashes: 3, after: time.Minute, trialDue: true, retryAfter: time.Second},
+		"one trial failed":         {crashes: 4, after: time.Minute, trialIn: 9 * time.Minute, retryAfter: 9 * time.Minute},
+		"after ten minutes":        {crashes: 4, after: 10 * time.Minute, trialDue: true, retryAfter: time.Second},
+		"two trials failed":        {crashes: 5, after: 99 * time.Minute, trialIn: time.Minute, retryAfter: time.Minute},
+		"after a hundred minutes":  {crashes: 5, after: 100 * time.Minute, trialDue: true, retryAfter: time.Second},
+		"three trials have failed": {crashes: 6, after: 200 * time.Minute, retryAfter: time.Hour},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			q := played(ends(0, x.ends))
-			v := q.Come(start().Add(time.Duration(x.ends-1)*time.Second+x.after), call)
-			is.Equal(v.Due, x.due)
-			is.Equal(v.Back, x.back)
-			is.Equal(v.Wait(), x.wait)
+			q := quarantinerAfter(crashesBetween(0, x.crashes))
+			v := q.Check(start().Add(time.Duration(x.crashes-1)*time.Second+x.after), call)
+			is.Equal(v.TrialDue, x.trialDue)
+			is.Equal(v.TrialIn, x.trialIn)
+			is.Equal(v.RetryAfter(), x.retryAfter)
 		})
 	}
 }
 
-// The same call comes at many instances at once, after a first target has ended under it. All
-// ask its home, which lets one go and then the next.
+// Guards against one crash per instance when a call arrives at many instances at once after its
+// first crash. All reserve the trial at the call's home, the one instance responsible for it, which
+// permits one at a time.
 func TestOneTrialAtATime(t *testing.T) {
-	suspected := quarantiner.Verdict{Standing: quarantiner.Suspected, Ends: 1}
-	held := quarantiner.Verdict{Standing: quarantiner.Held, Ends: 3}
-	due := quarantiner.Verdict{Standing: quarantiner.Held, Ends: 3, Due: true}
+	suspected := quarantiner.Verdict{Status: quarantiner.Suspected, Crashes: 1}
+	held := quarantiner.Verdict{Status: quarantiner.Quarantined, Crashes: 3}
+	due := quarantiner.Verdict{Status: quarantiner.Quarantined, Crashes: 3, TrialDue: true}
 
 	for name, x := range map[string]struct {
 		first quarantiner.Verdict
@@ -246,14 +246,14 @@
 		then  quarantiner.Verdict
 		want  []bool
 	}{
-		"while one is out":         {first: suspected, then: suspected, want: []bool{true, false}},
-		"after it is over":         {first: suspected, over: true, then: suspected, want: []bool{true, true}},
-		"its end was never told":   {first: suspected, after: 5 * time.Second, then: suspected, want: []bool{true, true}},
-		"held back meanwhile":      {first: suspected, over: true, then: held, want: []bool{true, false}},
-		"served meanwhile":         {first: suspected, then: quarantiner.Verdict{}, want: []bool{true, true}},
-		"held back, and due":       {first: due, then: due, want: []bool{true, false}},
-		"held back, and not due":   {first: held, then: held, want: []bool{false, false}},
-		"held back, then released": {first: held, then: quarantiner.Verdict{}, want: []bool{false, true}},
+		"while one is running":       {first: suspected, then: suspected, want: []bool{true, false}},
+		"after its end":              {first: suspected, over: true, then: suspected, want: []bool{true, true}},
+		"its end was not reported":   {first: suspected, after: 5 * time.Second, then: suspected, want: []bool{true, true}},
+		"quarantined meanwhile":      {first: suspected, over: true, then: held, want: []bool{true, false}},
+		"served meanwhile":           {first: suspected, then: quarantiner.Verdict{}, want: []bool{true, true}},
+		"quarantined, and due":       {first: due, then: due, want: []bool{true, false}},
+		"quarantined, and not due":   {first: held, then: held, want: []bool{false, false}},
+		"quarantined, then released": {first: held, then: quarantiner.Verdict{}, want: []bool{false, true}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -267,7 +267,7 @@
 			}
 
 			is.Equal(l.Begin(start().Add(x.after), x.then, call), x.want[1])
-			is.True(l.Begin(start(), suspected, call+1)) // Another call has trials of its own.
+			is.True(l.Begin(start(), suspected, call+1)) // Another call has its own trials.
 		})
 	}
 }
--- a/internal/quarantiner/record.go
+++ b/internal/quarantiner/record.go
@@ -8,59 +8,59 @@
 	"github.com/auburntray/auburntray/internal/enroller"
 )
 
-// mostEnds is how many ends of a call are remembered, the newest.
-const mostEnds = 8
+// maxCrashesPerRecord is the number of crashes that are remembered per call, the newest ones.
+const maxCrashesPerRecord = 8
 
-// End is the end of a process while a call was in flight there.
-type End struct {
+// Crash describes the crash of a process while a call was in flight there.
+type Crash struct {
 	Process enroller.Name
 	At      time.Time
-	// Excused says that the call was served since: it was not the cause.
-	Excused bool
-	// Known says that the instance that found the end had served the call shortly before.
-	Known bool
+	// Cleared reports whether the call was served since, so that it was not the cause.
+	Cleared bool
+	// ServedBefore reports whether the instance that detected the crash had served the call shortly before.
+	ServedBefore bool
 }
 
-// Record is what is known of one call.
+// Record holds the crashes of one call.
 type Record struct {
 	Call digester.Digest
-	// Seen is when it last came.
-	Seen time.Time
-	Ends []End
+	// LastSeen is when the call last arrived.
+	LastSeen time.Time
+	Crashes  []Crash
 }
 
-// add adds an end in the order of their times, and says whether it was not known. An end
-// that is known on another's word, or excused, stays as it is.
-func (r *Record) add(e End) bool {
-	for i, x := range r.Ends {
+// add inserts a crash in order of time, or sets the flags of a crash that is already recorded; flags
+// are never unset. It reports whether anything changed.
+func (r *Record) add(e Crash) bool {
+	for i, x := range r.Crashes {
 		if x.Process == e.Process {
-			r.Ends[i].Excused = x.Excused || e.Excused
-			r.Ends[i].Known = x.Known || e.Known
+			r.Crashes[i].Cleared = x.Cleared || e.Cleared
+			r.Crashes[i].ServedBefore = x.ServedBefore || e.ServedBefore
 
-			return r.Ends[i] != x
+			return r.Crashes[i] != x
 		}
 	}
 
-	i, _ := slices.BinarySearchFunc(r.Ends, e, func(a, b End) int { return a.At.Compare(b.At) })
-	if len(r.Ends) >= mostEnds && i == 0 {
+	i, _ := slices.BinarySearchFunc(r.Crashes, e, func(a, b Crash) int { return a.At.Compare(b.At) })
+	if len(r.Crashes) >= maxCrashesPerRecord && i == 0 {
 		return false
 	}
 
-	r.Ends = slices.Insert(r.Ends, i, e)
-	r.Ends = r.Ends[max(len(r.Ends)-mostEnds, 0):]
+	r.Crashes = slices.Insert(r.Crashes, i, e)
+	r.Crashes = r.Crashes[max(len(r.Crashes)-maxCrashesPerRecord, 0):]
 
 	return true
 }
 
-// join takes what another record of the same call holds, and says whether any end was new.
-func (r *Record) join(x Record) bool {
-	if x.Seen.After(r.Seen) {
-		r.Seen = x.Seen
+// merge adds the crashes of another record of the same call, and reports whether anything changed.
+func (r *Record) merge(x Record) bool {
+	if x.LastSeen.After(r.LastSeen) {
+		r.LastSeen = x.LastSeen
 	}
 
 	changed := false
 
-	for _, e := range x.Ends {
+	for _, e := range x.Crashes {
 		changed = r.add(e) || changed
 	}
 
@@ -69,7 +69,7 @@
 
 func (r *Record) clone() Record {
 	o := *r
-	o.Ends = slices.Clone(r.Ends)
+	o.Crashes = slices.Clone(r.Crashes)
 
 	return o
 }
--- a/internal/quarantiner/replay_test.go
+++ b/internal/quarantiner/replay_test.go
@@ -15,33 +15,33 @@
 	"github.com/auburntray/auburntray/internal/sharder"
 )
 
-// load is a service with calls that end targets among the others.
+// load is the load of a service, some of customerRand calls crash targets.
 type load struct {
 	targets int
-	// rate is how many calls come a second, each of which runs that long.
-	rate int
-	runs time.Duration
-	// looks is the part of the calls that look like another: one of so few.
-	looks float64
-	alike int
-	fatal int
-	every time.Duration
-	// fresh makes each sending of a call that ends targets another call.
-	fresh bool
-	// random is how long a target lives that ends by itself, in the middle.
-	random time.Duration
+	// rate is the number of calls per second, and duration their mean run time.
+	rate     int
+	duration time.Duration
+	// similarFraction is the fraction of calls that share one of similarCount digests.
+	similarFraction float64
+	similarCount    int
+	fatalCalls      int
+	interval        time.Duration
+	// alwaysNew gives each call that crashes targets a new digest.
+	alwaysNew bool
+	// meanLifetime is the mean time until a target crashes by itself; zero means never.
+	meanLifetime time.Duration
 }
 
-// counts are what became of the calls.
+// counts are the totals of a replay.
 type counts struct {
-	innocent, served, held, ends, fatal int
+	innocent, served, quarantined, crashes, fatalSendings int
 }
 
-// customers is how many send calls, one of them those that end targets.
+// customers is the number of customers, one of which sends the calls that crash targets.
 const customers = 10
 
-// listing returns so many targets of a group.
-func listing(n int) []*enroller.Target {
+// newTargets returns targets of one group.
+func newTargets(n int) []*enroller.Target {
 	e := enroller.New(enroller.DefaultSettings())
 
 	for i := range n {
@@ -51,8 +51,8 @@
 	return e.Roster().Groups["g"]
 }
 
-// enter returns a target as a list has it.
-func enter(t enroller.Target) *enroller.Target {
+// newTarget returns a target as a registry lists it.
+func newTarget(t enroller.Target) *enroller.Target {
 	e := enroller.New(enroller.DefaultSettings())
 	e.Set(t)
 
@@ -65,32 +65,32 @@
 	until  time.Time
 	tries  int
 	fatal  bool
-	// customer is who sends it: the first of the customers what ends targets, the others the
-	// good calls.
+	// customer identifies the sender: the first customer sends the calls that crash targets, the
+	// others the innocent ones.
 	customer uint64
 }
 
-// replay plays a load, a millisecond a step, with so many ends until a call is held back. All
-// instances are taken for one: what they tell each other is told within milliseconds. A call
-// whose target ends goes to another one, and its caller sends it once more when that fails too.
-func replay(l load, ends int, lasts time.Duration) counts {
+// replay simulates a load in steps of a millisecond, with the given number of crashes until a call is
+// quarantined. All instances share one Quarantiner, as they notify each other within milliseconds. A
+// call customerRand target crashes is sent to another one, and its caller retries when that fails too.
+func replay(l load, threshold int, lasts time.Duration) counts {
 	s := quarantiner.DefaultSettings()
-	s.Ends = ends
+	s.CrashThreshold = threshold
 
 	var (
 		o counts
 		r = rand.New(rand.NewPCG(1, 2))
 		q = quarantiner.New(s)
-		// at holds the calls of each target, back is when it is there again, and process its name.
-		at      = make([][]running, l.targets)
-		back    = make([]time.Time, l.targets)
-		process = make([]enroller.Name, l.targets)
-		next    = enroller.Name(1)
-		unique  = digester.Digest(1 << 32)
-		now     = start()
-		c       = sharder.New()
-		whose   = rand.New(rand.NewPCG(3, 4))
-		listed  = listing(l.targets)
+		// at holds the calls of each target, availableAt when it is available, and process its name.
+		at           = make([][]running, l.targets)
+		availableAt  = make([]time.Time, l.targets)
+		process      = make([]enroller.Name, l.targets)
+		next         = enroller.Name(1)
+		unique       = digester.Digest(1 << 32)
+		now          = start()
+		c            = sharder.New()
+		customerRand = rand.New(rand.NewPCG(3, 4))
+		listed       = newTargets(l.targets)
 	)
 
 	for i := range process {
@@ -100,21 +100,21 @@
 
 	var send func(x running)
 
-	// fall ends a target.
-	fall := func(i int) {
+	// crash ends the process of a target.
+	crash := func(i int) {
 		l2 := at[i]
 		at[i] = nil
-		back[i] = now.Add(4 * time.Second)
-		o.ends++
+		availableAt[i] = now.Add(4 * time.Second)
+		o.crashes++
 
 		for _, x := range l2 {
-			q.Ended(now, x.digest, process[i])
+			q.RecordCrash(now, x.digest, process[i])
 		}
 
-		// Each end is of another process.
-		ended := *listed[i]
-		ended.Start = now
-		c.RecordCrash(now, enter(ended))
+		// Each crash is of another process.
+		crashed := *listed[i]
+		crashed.Start = now
+		c.RecordCrash(now, newTarget(crashed))
 
 		process[i] = next
 		next++
@@ -127,9 +127,9 @@
 	}
 
 	send = func(x running) {
-		if q.Come(now, x.digest).Standing == quarantiner.Held {
+		if q.Check(now, x.digest).Status == quarantiner.Quarantined {
 			if !x.fatal {
-				o.held++
+				o.quarantined++
 			}
 
 			return
@@ -141,19 +141,19 @@
 		}
 
 		i := r.IntN(l.targets)
-		for n := 0; (back[i].After(now) || !slices.Contains(allowed, listed[i])) && n < l.targets; n++ {
+		for n := 0; (availableAt[i].After(now) || !slices.Contains(allowed, listed[i])) && n < l.targets; n++ {
 			i = (i + 1) % l.targets
 		}
 
-		if back[i].After(now) || !slices.Contains(allowed, listed[i]) {
-			return // All are away.
+		if availableAt[i].After(now) || !slices.Contains(allowed, listed[i]) {
+			return // All targets are unavailable.
 		}
 
 		if x.fatal {
-			o.fatal++
+			o.fatalSendings++
 		}
 
-		x.until = now.Add(time.Duration(float64(l.runs) * (0.2 + 1.6*r.Float64())))
+		x.until = now.Add(time.Duration(float64(l.duration) * (0.2 + 1.6*r.Float64())))
 		if x.fatal {
 			x.until = now.Add(10*time.Millisecond + time.Duration(r.Int64N(int64(150*time.Millisecond))))
 		}
@@ -168,7 +168,7 @@
 		for i := range at {
 			var keep []running
 
-			falls := false
+			crashes := false
 
 			for _, x := range at[i] {
 				switch {
@@ -176,18 +176,18 @@
 					keep = append(keep, x)
 				case x.fatal:
 					keep = append(keep, x)
-					falls = true
+					crashes = true
 				default:
 					o.served++
 
-					q.Served(x.digest)
+					q.RecordServed(x.digest)
 				}
 			}
 
 			at[i] = keep
 
-			if falls || l.random > 0 && r.Float64() < float64(time.Millisecond)/float64(l.random) {
-				fall(i)
+			if crashes || l.meanLifetime > 0 && r.Float64() < float64(time.Millisecond)/float64(l.meanLifetime) {
+				crash(i)
 			}
 		}
 
@@ -195,18 +195,18 @@
 			unique++
 			d := unique
 
-			if r.Float64() < l.looks {
-				d = digester.Digest(r.IntN(l.alike))
+			if r.Float64() < l.similarFraction {
+				d = digester.Digest(r.IntN(l.similarCount))
 			}
 
 			o.innocent++
-			send(running{digest: d, customer: 1 + whose.Uint64N(customers-1)})
+			send(running{digest: d, customer: 1 + customerRand.Uint64N(customers-1)})
 		}
 
-		for n := range l.fatal {
-			if ms%int(l.every/time.Millisecond) == 37*n%int(l.every/time.Millisecond) {
+		for n := range l.fatalCalls {
+			if ms%int(l.interval/time.Millisecond) == 37*n%int(l.interval/time.Millisecond) {
 				d := digester.Digest(1<<40 + n)
-				if l.fresh {
+				if l.alwaysNew {
 					d += digester.Digest(1000 * (ms + 1))
 				}
 
@@ -218,83 +218,83 @@
 	return o
 }
 
-// derwent, portal and large are services as they are on the users' platform: twenty engines, a
-// page that many ask for, two hundred engines.
-func derwent() load {
-	return load{targets: 18, rate: 135, runs: 900 * time.Millisecond, every: 250 * time.Millisecond}
+// smallEngines, pageService and largeEngines are loads as on the users' platform: 18 engines, a
+// service with a page that many customers request, and 192 engines.
+func smallEngines() load {
+	return load{targets: 18, rate: 135, duration: 900 * time.Millisecond, interval: 250 * time.Millisecond}
 }
 
-func portal() load {
-	return load{targets: 4, rate: 47, runs: 60 * time.Millisecond, looks: 0.5, alike: 5, every: 250 * time.Millisecond}
+func pageService() load {
+	return load{targets: 4, rate: 47, duration: 60 * time.Millisecond, similarFraction: 0.5, similarCount: 5, interval: 250 * time.Millisecond}
 }
 
-func large() load {
-	return load{targets: 192, rate: 1500, runs: 500 * time.Millisecond, every: 250 * time.Millisecond}
+func largeEngines() load {
+	return load{targets: 192, rate: 1500, duration: 500 * time.Millisecond, interval: 250 * time.Millisecond}
 }
 
-// with returns a load with so many calls that end targets, and targets that end by themselves
-// after such a time in the middle.
-func with(l load, fatal int, random time.Duration) load {
-	l.fatal, l.random = fatal, random
+// withCrashes returns a load with a number of calls that crash targets, and with targets that crash by
+// themselves after a mean time.
+func withCrashes(l load, fatal int, random time.Duration) load {
+	l.fatalCalls, l.meanLifetime = fatal, random
 
 	return l
 }
 
 const (
-	// innocentPart is one good call in how many may be held back.
-	innocentPart = 10_000
-	// sendingsMost is how often a call that ends targets may be sent: three times until it is
-	// known, and twice more that were under way then.
-	sendingsMost = 5
+	// minInnocentPerQuarantined is the least number of innocent calls for each quarantined one.
+	minInnocentPerQuarantined = 10_000
+	// maxSendingsPerFatalCall is how often a call that crashes targets may be sent: three times
+	// until it is quarantined, and twice that were in progress by then.
+	maxSendingsPerFatalCall = 5
 )
 
-// check plays a load and checks both sides of the decision.
-func check(t *testing.T, l load, lasts time.Duration) {
+// checkReplay replays a load and checks that innocent calls pass and fatal ones are quarantined.
+func checkReplay(t *testing.T, l load, lasts time.Duration) {
 	t.Helper()
 
 	is := is.New(t)
-	o := replay(l, quarantiner.DefaultSettings().Ends, lasts)
-	t.Logf("%d good calls, %d held back; %d targets ended, %d sendings of calls that end them", o.innocent, o.held, o.ends, o.fatal)
+	o := replay(l, quarantiner.DefaultSettings().CrashThreshold, lasts)
+	t.Logf("%d innocent calls, %d quarantined; %d targets crashed, %d sendings of calls that crash them", o.innocent, o.quarantined, o.crashes, o.fatalSendings)
 
-	is.True(o.held*innocentPart < o.innocent)
-	is.True(o.fatal <= sendingsMost*l.fatal)
+	is.True(o.quarantined*minInnocentPerQuarantined < o.innocent)
+	is.True(o.fatalSendings <= maxSendingsPerFatalCall*l.fatalCalls)
 }
 
-// Good calls run beside one that ends targets, or targets that end for a reason of their own;
-// some of the good ones look alike. With two ends in place of three, 12 and 13 of 13,400 good
-// calls were held back while engines ended by themselves.
+// Guards against innocent calls that are quarantined beside one that crashes targets, or where targets
+// crash for other reasons; some innocent calls share a digest. With a threshold of two crashes instead
+// of three, 12 and 13 of 13,400 innocent calls were quarantined while engines crashed by themselves.
 func TestReplayOfEndsUnderLoad(t *testing.T) {
 	for name, x := range map[string]load{
-		"engines, one call that ends them":                with(derwent(), 1, 0),
-		"engines that end by themselves":                  with(derwent(), 0, 20*time.Second),
-		"engines, one, and ends by themselves":            with(derwent(), 1, 20*time.Second),
-		"a service with calls that look alike, one":       with(portal(), 1, 0),
-		"a service with calls that look alike, by itself": with(portal(), 0, 5*time.Second),
+		"engines, one fatal call":                           withCrashes(smallEngines(), 1, 0),
+		"engines that crash by themselves":                  withCrashes(smallEngines(), 0, 20*time.Second),
+		"engines, one fatal call and crashes by themselves": withCrashes(smallEngines(), 1, 20*time.Second),
+		"a service with similar calls, one fatal call":      withCrashes(pageService(), 1, 0),
+		"a service with similar calls, crashes by itself":   withCrashes(pageService(), 0, 5*time.Second),
 	} {
-		t.Run(name, func(t *testing.T) { check(t, x, 100*time.Second) })
+		t.Run(name, func(t *testing.T) { checkReplay(t, x, 100*time.Second) })
 	}
 
-	t.Run("two hundred engines, ten calls", func(t *testing.T) { check(t, with(large(), 10, 0), 10*time.Second) })
+	t.Run("192 engines, ten fatal calls", func(t *testing.T) { checkReplay(t, withCrashes(largeEngines(), 10, 0), 10*time.Second) })
 }
 
-// Ten different calls that end targets come in the same third of a second, at eighteen engines:
-// all engines end, and good calls that are sent on meet a third end before they are served. They
-// are then refused though they did nothing.
+// Guards against innocent calls that are quarantined when ten different calls that crash targets arrive
+// within a third of a second at 18 engines: all engines crash, and retried innocent calls see a third
+// crash before they are served.
 func TestReplayOfManyCallsThatEndTargets(t *testing.T) {
-	check(t, with(derwent(), 10, 0), 100*time.Second)
+	checkReplay(t, withCrashes(smallEngines(), 10, 0), 100*time.Second)
 }
 
-// One customer of many sends a call that ends targets each quarter of a second, and each time a
-// new one. Each costs the targets that it is tried at, four with what its caller sends again, and
-// none is known for the next: the service is away for everybody.
+// Guards against a service that is unavailable to everyone because one of many customers sends a new
+// call that crashes targets every 250 ms. Each costs up to four targets with the retries of its caller,
+// and no record helps against the next one.
 func TestReplayOfEverNewCallsThatEndTargets(t *testing.T) {
-	// servedPart is the least part of the other calls that is served, as on a calm day.
-	const servedPart = 0.95
+	// minServedFraction is the least fraction of the other calls that must be served, as on a calm day.
+	const minServedFraction = 0.95
 
-	l := with(derwent(), 1, 0)
-	l.fresh = true
+	l := withCrashes(smallEngines(), 1, 0)
+	l.alwaysNew = true
 
-	o := replay(l, quarantiner.DefaultSettings().Ends, 100*time.Second)
-	t.Logf("%d of %d other calls served, %d held back; %d targets ended", o.served, o.innocent, o.held, o.ends)
-	is.New(t).True(float64(o.served) >= servedPart*float64(o.innocent))
+	o := replay(l, quarantiner.DefaultSettings().CrashThreshold, 100*time.Second)
+	t.Logf("%d of %d other calls served, %d quarantined; %d targets crashed", o.served, o.innocent, o.quarantined, o.crashes)
+	is.New(t).True(float64(o.served) >= minServedFraction*float64(o.innocent))
 }
--- a/internal/quarantiner/served.go
+++ b/internal/quarantiner/served.go
@@ -2,29 +2,29 @@
 
 import "github.com/auburntray/auburntray/internal/digester"
 
-// mostServed is how many calls an instance knows to have served, at least, and half of how many
-// at most: those of some minutes at ten a second.
-const mostServed = 4096
+// servedPerGeneration is the number of served calls per generation. With two generations the last 4,096
+// to 8,192 calls are remembered: those of some minutes at ten calls per second.
+const servedPerGeneration = 4096
 
-// served are the calls that were served last. The zero value holds none.
+// served is the set of the most recently served calls. The zero value is empty.
 type served struct {
-	newer, older map[digester.Digest]struct{}
+	current, previous map[digester.Digest]struct{}
 }
 
 func (s *served) add(d digester.Digest) {
-	if len(s.newer) >= mostServed || s.newer == nil {
-		s.newer, s.older = make(map[digester.Digest]struct{}), s.newer
+	if len(s.current) >= servedPerGeneration || s.current == nil {
+		s.current, s.previous = make(map[digester.Digest]struct{}), s.current
 	}
 
-	s.newer[d] = struct{}{}
+	s.current[d] = struct{}{}
 }
 
-func (s *served) has(d digester.Digest) bool {
-	if _, ok := s.newer[d]; ok {
+func (s *served) contains(d digester.Digest) bool {
+	if _, ok := s.current[d]; ok {
 		return true
 	}
 
-	_, ok := s.older[d]
+	_, ok := s.previous[d]
 
 	return ok
 }
--- a/internal/quarantiner/state.go
+++ b/internal/quarantiner/state.go
@@ -5,23 +5,23 @@
 	"github.com/auburntray/auburntray/internal/hasher"
 )
 
-// State returns a number that is the same at two instances that have the same Records, so that
-// they need not tell each other any.
-func (q *Quarantiner) State() uint64 {
+// Fingerprint returns a number that is equal at two instances with the same Records, so that they can skip
+// exchanging them.
+func (q *Quarantiner) Fingerprint() uint64 {
 	var o uint64
 
 	for _, r := range q.calls {
-		if !q.grave(r) {
+		if !q.replicated(r) {
 			continue
 		}
 
-		for _, e := range r.Ends {
+		for _, e := range r.Crashes {
 			k := hasher.Mix(uint64(r.Call), uint64(e.Process))
-			if e.Excused {
+			if e.Cleared {
 				k = hasher.Mix(k, 1)
 			}
 
-			if e.Known {
+			if e.ServedBefore {
 				k = hasher.Mix(k, 2)
 			}
 
@@ -32,11 +32,11 @@
 	return o
 }
 
-// Count returns how many calls are suspected and how many are held back.
+// Count returns the numbers of suspected and of quarantined calls.
 func (q *Quarantiner) Count() (suspected, held int) {
 	for _, r := range q.calls {
-		switch q.verdict(r).Standing {
-		case Held:
+		switch q.verdict(r).Status {
+		case Quarantined:
 			held++
 		case Suspected:
 			suspected++
@@ -47,12 +47,12 @@
 	return suspected, held
 }
 
-// HeldBack returns the calls that are held back.
-func (q *Quarantiner) HeldBack() []digester.Digest {
+// Quarantined returns the quarantined calls.
+func (q *Quarantiner) Quarantined() []digester.Digest {
 	var o []digester.Digest
 
 	for d, r := range q.calls {
-		if q.verdict(r).Standing == Held {
+		if q.verdict(r).Status == Quarantined {
 			o = append(o, d)
 		}
 	}
--- a/internal/quarantiner/trials.go
+++ b/internal/quarantiner/trials.go
@@ -6,28 +6,28 @@
 	"github.com/auburntray/auburntray/internal/digester"
 )
 
-// trialMost is how long a trial counts whose end nobody told: the instance that made it may be
-// gone. A call that ends targets does so within a second.
-const trialMost = 5 * time.Second
-
-// Trials lets one sending at a time go to a target of each call that is suspected, in the whole
-// fleet: sent through many instances at once, before any of them has told the others, it would
-// end a target for each. They are kept at the call's home. The zero value has none. It is not
-// safe for concurrent use.
+// trialTimeout is how long a trial is considered running if its end is not reported: its instance may
+// be gone. A call that crashes targets does so within a second.
+const trialTimeout = 5 * time.Second
+
+// Trials permits one attempt at a time of each suspected call in the whole fleet: sent through many
+// instances at once, before any of them has notified the others, it would crash a target for each.
+// Trials are kept at the call's home, the one instance responsible for it. The zero value is empty.
+// Trials is not safe for concurrent use.
 type Trials struct {
 	running map[digester.Digest]time.Time
 }
 
-// Begin says whether a call may be sent now, and notes that it is.
+// Begin reports whether a call may be sent now, and if so records the trial of a suspected call.
 func (t *Trials) Begin(now time.Time, v Verdict, d digester.Digest) bool {
 	switch {
-	case v.Standing == Free:
+	case v.Status == Free:
 		return true
-	case v.Standing == Held && !v.Due:
+	case v.Status == Quarantined && !v.TrialDue:
 		return false
 	}
 
-	if b, ok := t.running[d]; ok && now.Sub(b) < trialMost {
+	if b, ok := t.running[d]; ok && now.Sub(b) < trialTimeout {
 		return false
 	}
 
@@ -40,15 +40,15 @@
 	return true
 }
 
-// End notes that a trial is over.
+// End records that a trial is over.
 func (t *Trials) End(d digester.Digest) {
 	delete(t.running, d)
 }
 
-// Forget drops the trials whose end nobody told.
-func (t *Trials) Forget(now time.Time) {
+// Expire removes the trials whose end was not reported in time.
+func (t *Trials) Expire(now time.Time) {
 	for d, b := range t.running {
-		if now.Sub(b) >= trialMost {
+		if now.Sub(b) >= trialTimeout {
 			delete(t.running, d)
 		}
 	}
--- a/internal/quarantiner/verdict.go
+++ b/internal/quarantiner/verdict.go
@@ -5,72 +5,72 @@
 	"time"
 )
 
-// Standing is what a call may do.
-type Standing int
+// Status is the quarantine status of a call.
+type Status int
 
-// The standings.
+// The statuses of a call.
 const (
-	// Free is a call under which no target has ended since it was served last.
-	Free Standing = iota
-	// Suspected is one under which some have; it may go on.
+	// Free is a call without crashes since it was last served.
+	Free Status = iota
+	// Suspected is a call with fewer crashes than the threshold; it may be sent.
 	Suspected
-	// Held is one that goes to no target.
-	Held
+	// Quarantined is a call with too many crashes; it is sent to no target.
+	Quarantined
 )
 
-// String returns the standing's name.
-func (s Standing) String() string {
+// String returns the name of the status.
+func (s Status) String() string {
 	switch s {
 	case Free:
 		return "free"
 	case Suspected:
 		return "suspected"
-	case Held:
+	case Quarantined:
 		return "held"
 	default:
 		return "unknown"
 	}
 }
 
-// Verdict says what a call may do, and why.
+// Verdict is the decision on a call and its reason.
 type Verdict struct {
-	Standing Standing
-	// Ends is how many ends count against the call.
-	Ends int
-	// Last is when the last of them was.
-	Last time.Time
-	// Due says that a call that is held back is to be tried once, and Back how long it is
-	// until then; zero for ever.
-	Due  bool
-	Back time.Duration
+	Status Status
+	// Crashes is the number of crashes that count against the call.
+	Crashes int
+	// LastCrash is the time of the last of them.
+	LastCrash time.Time
+	// TrialDue reports whether a quarantined call is due for a trial.
+	TrialDue bool
+	// TrialIn is the time until the next trial; zero if there is none, or if it is due now.
+	TrialIn time.Duration
 }
 
 const (
-	// busyWait is when to come back with a call of which another sending is out.
-	busyWait = 500 * time.Millisecond
-	// heldWait is the same for one that is held back and not tried any more, and leastWait the
-	// least for others. Whoever comes back sooner is refused again, at no cost to a target.
-	heldWait  = time.Hour
-	leastWait = time.Second
+	// suspectedRetryAfter applies while another attempt of a suspected call is in flight.
+	suspectedRetryAfter = 500 * time.Millisecond
+	// permanentRetryAfter applies to quarantined calls without further trials, and minRetryAfter is
+	// the minimum for others. Callers that retry sooner are refused again, without cost to a target.
+	permanentRetryAfter = time.Hour
+	minRetryAfter       = time.Second
 )
 
-// Wait returns when a call should come back that may not go on.
-func (v Verdict) Wait() time.Duration {
+// RetryAfter returns the time after which a refused call should be retried.
+func (v Verdict) RetryAfter() time.Duration {
 	switch {
-	case v.Standing != Held:
-		return busyWait
-	case v.Back == 0 && !v.Due:
-		return heldWait
+	case v.Status != Quarantined:
+		return suspectedRetryAfter
+	case v.TrialIn == 0 && !v.TrialDue:
+		return permanentRetryAfter
 	default:
-		return max(v.Back, leastWait)
+		return max(v.TrialIn, minRetryAfter)
 	}
 }
 
-// Reason says why a call may not go on.
+// Reason returns why a call is refused.
 func (v Verdict) Reason(now time.Time) string {
-	if v.Standing != Held {
-		return "a target has ended while it ran this call, and another sending of it is out"
+	if v.Status != Quarantined {
+		return "a target crashed while running this call, and another attempt of it is in flight"
 	}
 
-	return fmt.Sprintf("%d targets have ended while they ran this call, the last %v ago; it is held back", v.Ends, now.Sub(v.Last).Round(time.Millisecond))
+	return fmt.Sprintf("%d targets have ended while they ran this call, the last %v ago; it is held back", v.Crashes, now.Sub(v.LastCrash).Round(time.Millisecond))
 }
--- a/internal/tracker/tracker.go
+++ b/internal/tracker/tracker.go
@@ -1,30 +1,29 @@
-// Package tracker follows which targets are leaving.
+// Package tracker tracks which targets are leaving.
 package tracker
 
-// State is what is known of a target's present incarnation.
+// State describes the current incarnation of a target, that is one of its successive processes. The
+// zero State means that nothing is known.
 type State struct {
 	Incarnation uint64
 	Leaving     bool
 }
 
-// Tracker keeps, for each target, the newest incarnation and whether that one
-// is leaving. It is not safe for concurrent use.
+// Tracker holds the newest incarnation of each target and whether it is leaving. It is not safe for
+// concurrent use.
 type Tracker struct {
 	states map[uint32]State
 }
 
-// New returns a Tracker that knows no target.
+// New returns a Tracker without targets.
 func New() *Tracker {
 	return &Tracker{states: make(map[uint32]State)}
 }
 
-// Observe takes what a source says of an incarnation of a target and returns
-// whether that changed what is known. Sources are the platform's list, the
-// target's own word and other routers.
+// Observe records the state of a target as reported by a source, and reports whether the known state
+// changed. Sources are the platform's list, the target itself and other routers.
 //
-// A lagging source still calls a leaving target live. Taken at its word it
-// would bring the target back for new work, which shows as requests cut when
-// the target stops; so leaving sticks until a newer incarnation is seen.
+// A lagging source may still report a leaving target as live. Accepting that would send new requests
+// to the target, which are cut when it stops; so leaving persists until a newer incarnation is seen.
 func (t *Tracker) Observe(target uint32, s State) bool {
 	o, ok := t.states[target]
 	if ok && s.Incarnation < o.Incarnation {
@@ -40,8 +39,7 @@
 	return s != o
 }
 
-// Get returns what is known of a target. The zero State is a target of which
-// nothing is known.
+// Get returns the known state of a target, or the zero State.
 func (t *Tracker) Get(target uint32) State {
 	return t.states[target]
 }
--- a/internal/warner/message.go
+++ b/internal/warner/message.go
@@ -73,7 +73,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 
-	if q.State == w.quarantiner.State() {
+	if q.State == w.quarantiner.Fingerprint() {
 		return &wire.Suspects{State: q.State, Informed: w.informed}, nil
 	}
 
@@ -83,7 +83,7 @@
 // all returns what every instance should know. The lock is held.
 func (w *Warner) all() *wire.Suspects {
 	m := encode(time.Now(), w.quarantiner.Records(mostTold))
-	m.State, m.Informed = w.quarantiner.State(), w.informed
+	m.State, m.Informed = w.quarantiner.Fingerprint(), w.informed
 
 	return m
 }
@@ -102,7 +102,7 @@
 		l = append(l, digester.Digest(s.Call))
 	}
 
-	o.Calls = append(o.Calls, encode(time.Now(), w.quarantiner.Of(l)).Calls...)
+	o.Calls = append(o.Calls, encode(time.Now(), w.quarantiner.RecordsOf(l)).Calls...)
 
 	return o
 }
@@ -115,7 +115,7 @@
 	defer stop()
 
 	w.mu.Lock()
-	q := wire.SuspectsRequest{State: w.quarantiner.State()}
+	q := wire.SuspectsRequest{State: w.quarantiner.Fingerprint()}
 	w.mu.Unlock()
 
 	var r wire.Suspects
@@ -151,9 +151,9 @@
 	o := &wire.Suspects{}
 
 	for _, r := range l {
-		s := wire.Suspect{Call: uint64(r.Call), SeenMs: age(now, r.Seen)}
-		for _, e := range r.Ends {
-			s.Ends = append(s.Ends, wire.SuspectEnd{Target: uint32(e.Process), AgeMs: age(now, e.At), Excused: e.Excused, Known: e.Known})
+		s := wire.Suspect{Call: uint64(r.Call), SeenMs: age(now, r.LastSeen)}
+		for _, e := range r.Crashes {
+			s.Ends = append(s.Ends, wire.SuspectEnd{Target: uint32(e.Process), AgeMs: age(now, e.At), Excused: e.Cleared, Known: e.ServedBefore})
 		}
 
 		o.Calls = append(o.Calls, s)
@@ -167,9 +167,9 @@
 	var o []quarantiner.Record
 
 	for _, s := range m.Calls {
-		r := quarantiner.Record{Call: digester.Digest(s.Call), Seen: before(now, s.SeenMs)}
+		r := quarantiner.Record{Call: digester.Digest(s.Call), LastSeen: before(now, s.SeenMs)}
 		for _, e := range s.Ends {
-			r.Ends = append(r.Ends, quarantiner.End{Process: enroller.Name(e.Target), At: before(now, e.AgeMs), Excused: e.Excused, Known: e.Known})
+			r.Crashes = append(r.Crashes, quarantiner.Crash{Process: enroller.Name(e.Target), At: before(now, e.AgeMs), Cleared: e.Excused, ServedBefore: e.Known})
 		}
 
 		o = append(o, r)
--- a/internal/warner/shelf.go
+++ b/internal/warner/shelf.go
@@ -204,8 +204,8 @@
 	n := time.Now()
 
 	w.mu.Lock()
-	held := slices.Contains(w.quarantiner.HeldBack(), d)
-	m := encode(n, w.quarantiner.Of([]digester.Digest{d}))
+	held := slices.Contains(w.quarantiner.Quarantined(), d)
+	m := encode(n, w.quarantiner.RecordsOf([]digester.Digest{d}))
 	w.mu.Unlock()
 
 	if !held || len(m.Calls) == 0 {
--- a/internal/warner/shelf_test.go
+++ b/internal/warner/shelf_test.go
@@ -198,7 +198,7 @@
 
 				f := startWith(t, 1, s)
 				time.Sleep(bound)
-				is.Equal(f.instances[0].Come(call).Standing == quarantiner.Held, x.held)
+				is.Equal(f.instances[0].Come(call).Status == quarantiner.Quarantined, x.held)
 				is.Equal(s.keys(), x.kept)
 			})
 		})
--- a/internal/warner/trial.go
+++ b/internal/warner/trial.go
@@ -39,16 +39,16 @@
 
 	for {
 		v := w.Come(d)
-		if v.Standing == quarantiner.Free {
+		if v.Status == quarantiner.Free {
 			return v, true, func() {}
 		}
 
 		h := w.home(d)
-		if (v.Standing == quarantiner.Suspected || v.Due) && w.begin(c, h, d, v) {
+		if (v.Status == quarantiner.Suspected || v.TrialDue) && w.begin(c, h, d, v) {
 			return v, true, func() { w.over(h, d) }
 		}
 
-		if v.Standing == quarantiner.Held || c.Err() != nil || time.Now().Add(homeEvery).After(until) {
+		if v.Status == quarantiner.Quarantined || c.Err() != nil || time.Now().Add(homeEvery).After(until) {
 			return v, false, func() {}
 		}
 
@@ -84,7 +84,7 @@
 		logrus.WithFields(logrus.Fields{"event": "trialUnanswered", "digest": d, "peer": h.Address, "error": err}).Debug()
 
 		// One that is held back is sent on its home's word alone.
-		return v.Standing == quarantiner.Suspected
+		return v.Status == quarantiner.Suspected
 	}
 
 	w.learn(&r.Known)
@@ -98,7 +98,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 
-	return *encode(time.Now(), w.quarantiner.Of([]digester.Digest{d}))
+	return *encode(time.Now(), w.quarantiner.RecordsOf([]digester.Digest{d}))
 }
 
 // over tells a call's home that a sending is over.
@@ -123,7 +123,7 @@
 
 	n := time.Now()
 
-	return w.trials.Begin(n, w.quarantiner.Come(n, d), d)
+	return w.trials.Begin(n, w.quarantiner.Check(n, d), d)
 }
 
 func (w *Warner) end(d digester.Digest) {
@@ -164,7 +164,7 @@
 
 	if q.All {
 		w.mu.Lock()
-		for _, d := range w.quarantiner.HeldBack() {
+		for _, d := range w.quarantiner.Quarantined() {
 			l = append(l, uint64(d))
 		}
 		w.mu.Unlock()
--- a/internal/warner/warner.go
+++ b/internal/warner/warner.go
@@ -71,7 +71,7 @@
 	// counts are the decisions of this instance.
 	counts Counts
 	// ends is called with the ends that other instances tell of.
-	ends func(l []quarantiner.End)
+	ends func(l []quarantiner.Crash)
 
 	// turn are the instances that are asked next. Only ask uses it.
 	turn []uint64
@@ -90,16 +90,16 @@
 // New returns a Warner that knows of no call. Without a shelf nothing outlasts the instances.
 func New(m Messenger, x spreader.Members, h Shelf, s quarantiner.Settings) *Warner {
 	return &Warner{
-		messenger: m, members: x, spreader: spreader.New(m, x), shelf: h, keep: s.Keep, quarantiner: quarantiner.New(s),
+		messenger: m, members: x, spreader: spreader.New(m, x), shelf: h, keep: s.Retention, quarantiner: quarantiner.New(s),
 		untold: make(map[digester.Digest]bool), wake: make(chan struct{}, 1),
 		unshelved: make(map[digester.Digest]bool), shelveWake: make(chan struct{}, 1), informed: h == nil,
-		ends: func([]quarantiner.End) {},
+		ends: func([]quarantiner.Crash) {},
 	}
 }
 
 // OnEnds sets what is called with the ends of targets that other instances tell of, each of them
 // as often as it is told. It is set before the first call comes.
-func (w *Warner) OnEnds(f func(l []quarantiner.End)) {
+func (w *Warner) OnEnds(f func(l []quarantiner.Crash)) {
 	w.ends = f
 }
 
@@ -108,7 +108,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 
-	return w.quarantiner.Come(time.Now(), d)
+	return w.quarantiner.Check(time.Now(), d)
 }
 
 // Ended takes that a target's process ended while a call was in flight there, and tells the
@@ -117,15 +117,15 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 
-	v, added := w.quarantiner.Ended(time.Now(), d, p)
+	v, added := w.quarantiner.RecordCrash(time.Now(), d, p)
 	if added {
 		w.counts.Ends++
 		w.tellLater(d)
 	}
 
-	if added && v.Standing == quarantiner.Held {
+	if added && v.Status == quarantiner.Quarantined {
 		w.shelveLater(d)
-		logrus.WithFields(logrus.Fields{"event": "callHeldBack", "digest": d, "source": "own", "ends": v.Ends}).Warn()
+		logrus.WithFields(logrus.Fields{"event": "callHeldBack", "digest": d, "source": "own", "ends": v.Crashes}).Warn()
 	}
 
 	return v
@@ -150,8 +150,8 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 
-	held := w.quarantiner.Come(time.Now(), d).Standing == quarantiner.Held
-	if !w.quarantiner.Served(d) {
+	held := w.quarantiner.Check(time.Now(), d).Status == quarantiner.Quarantined
+	if !w.quarantiner.RecordServed(d) {
 		return false
 	}
 
@@ -236,7 +236,7 @@
 		delete(w.untold, d)
 	}
 
-	return encode(time.Now(), w.quarantiner.Of(l))
+	return encode(time.Now(), w.quarantiner.RecordsOf(l))
 }
 
 // ask asks the other instances in turn.
@@ -286,8 +286,8 @@
 	for c.Err() == nil {
 		sleeper.Sleep(c, forgetEvery)
 		w.mu.Lock()
-		w.quarantiner.Forget(time.Now())
-		w.trials.Forget(time.Now())
+		w.quarantiner.Expire(time.Now())
+		w.trials.Expire(time.Now())
 		w.mu.Unlock()
 	}
 }
@@ -298,11 +298,11 @@
 
 	w.mu.Lock()
 	w.informed = w.informed || m.Informed
-	l, changed := w.quarantiner.Learn(time.Now(), r)
+	l, changed := w.quarantiner.Merge(time.Now(), r)
 	w.mu.Unlock()
 
 	for _, x := range r {
-		w.ends(x.Ends)
+		w.ends(x.Crashes)
 	}
 
 	for _, d := range l {
--- a/internal/warner/warner_test.go
+++ b/internal/warner/warner_test.go
@@ -155,7 +155,7 @@
 // holding counts the instances that hold the call back.
 func (f *fleet) holding() (o int) {
 	for _, w := range f.instances {
-		if w.Come(call).Standing == quarantiner.Held {
+		if w.Come(call).Status == quarantiner.Quarantined {
 			o++
 		}
 	}
