--- a/internal/filterer/accept.go
+++ b/internal/filterer/accept.go
@@ -11,16 +11,18 @@
 	"github.com/auburntray/auburntray/internal/exchanger"
 )
 
-// Accept reads the request's body whole, so that a call can be sent again and
-// its key be bound to its body.
+// Accept buffers the complete request body, so that the call can be retried and
+// its idempotency key bound to the body.
 type Accept struct {
+	// MaxBody is the largest accepted body, in bytes.
 	MaxBody int64
 }
 
-// Name returns the name of the step.
+// Name implements exchanger.Filter.
 func (Accept) Name() string { return "accept" }
 
-// Apply reads the body. It refuses one that is too large.
+// Apply records the start time and reads the body. It fails with a Refusal if the
+// body is larger than MaxBody or cannot be read.
 func (a Accept) Apply(_ context.Context, x *exchanger.Exchange) error {
 	x.Start = time.Now()
 
@@ -34,8 +36,8 @@
 	var m *http.MaxBytesError
 	if errors.As(err, &m) {
 		return exchanger.Refuse(http.StatusRequestEntityTooLarge, exchanger.CodeTooLarge, 0,
-			"the body is larger than %d bytes", m.Limit)
+			"the request body is larger than %d bytes", m.Limit)
 	}
 
-	return exchanger.Refuse(http.StatusBadRequest, exchanger.CodeBadRequest, 0, "the body can't be read")
+	return exchanger.Refuse(http.StatusBadRequest, exchanger.CodeBadRequest, 0, "the request body could not be read")
 }
--- a/internal/filterer/attempt.go
+++ b/internal/filterer/attempt.go
@@ -16,42 +16,45 @@
 	"github.com/auburntray/auburntray/internal/retrier"
 )
 
-// Attempt runs the steps of one attempt, and again while that is allowed.
+// Attempt runs the filters of one attempt and retries within the retry budget. It is
+// safe for concurrent use; create it with NewAttempt.
 type Attempt struct {
+	// Steps are the filters of each attempt, in order.
 	Steps   []exchanger.Filter
-	Places  places
+	Slots   slots
 	Counter *counter.Counter
 	Isolate Isolate
 
-	mu      sync.Mutex
+	mu sync.Mutex
+	// retrier is guarded by mu.
 	retrier *retrier.Retrier
 }
 
 // NewAttempt returns an Attempt with a full retry budget.
-func NewAttempt(p places, n *counter.Counter, i Isolate, steps ...exchanger.Filter) *Attempt {
+func NewAttempt(p slots, n *counter.Counter, i Isolate, steps ...exchanger.Filter) *Attempt {
 	r := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) //nolint:gosec // Jitter.
 
-	return &Attempt{Steps: steps, Places: p, Counter: n, Isolate: i, retrier: retrier.New(r)}
+	return &Attempt{Steps: steps, Slots: p, Counter: n, Isolate: i, retrier: retrier.New(r)}
 }
 
-// Name returns the name of the step.
+// Name implements exchanger.Filter.
 func (*Attempt) Name() string { return "attempt" }
 
-// Apply makes attempts until one succeeds or no other may be made.
+// Apply makes attempts until one succeeds, is refused, or may not be retried.
 func (a *Attempt) Apply(c context.Context, x *exchanger.Exchange) error {
 	for {
 		x.Attempt++
 
-		err := a.once(c, x)
+		err := a.tryOnce(c, x)
 		if err == nil {
-			a.succeed()
+			a.recordSuccess()
 
 			return nil
 		}
 
 		var r *exchanger.Refusal
 		if errors.As(err, &r) {
-			return a.refused(x, r)
+			return a.correctOutcome(x, r)
 		}
 
 		logrus.WithFields(logrus.Fields{
@@ -59,28 +62,28 @@
 			"notRun": x.Result.NotRun, "relayed": x.Relayed, "error": err,
 		}).Warn()
 
-		if !a.again(c, x) {
-			return a.final(c, x, err)
+		if !a.awaitRetry(c, x) {
+			return a.failure(c, x, err)
 		}
 
 		a.Counter.Add(counter.Retried, 1)
 	}
 }
 
-// once makes one attempt and gives its place back.
-func (a *Attempt) once(c context.Context, x *exchanger.Exchange) error {
+// tryOnce makes one attempt and releases its slot.
+func (a *Attempt) tryOnce(c context.Context, x *exchanger.Exchange) error {
 	x.Response = nil
 	x.Result = exchanger.Result{}
 	x.Target = nil
 
-	err := run(c, x, a.Steps)
+	err := runFilters(c, x, a.Steps)
 	if x.Target == nil {
 		return err
 	}
 
-	a.Isolate.learn(c, x, err)
+	a.Isolate.recordResult(c, x, err)
 
-	a.Places.Release(x.Place, granter.Outcome{
+	a.Slots.Release(x.Place, granter.Outcome{
 		OK: !x.Result.TargetFailed, NeverSent: !x.Result.Sent && !x.Result.TargetFailed,
 	})
 
@@ -92,15 +95,18 @@
 	return err
 }
 
-func (a *Attempt) succeed() {
+// recordSuccess credits a successful call to the retry budget.
+func (a *Attempt) recordSuccess() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 
 	a.retrier.Succeed()
 }
 
-// again says whether to make another attempt, after the wait before it.
-func (a *Attempt) again(c context.Context, x *exchanger.Exchange) bool {
+// awaitRetry waits for the retry delay and reports whether to make another attempt. It is
+// false without a wait if the retry budget or the rule does not permit one, and after the
+// wait if the call is quarantined.
+func (a *Attempt) awaitRetry(c context.Context, x *exchanger.Exchange) bool {
 	a.mu.Lock()
 	w, ok := a.retrier.Next(time.Now(), x.Deadline, retrier.Attempt{
 		Number: x.Attempt, Repeatable: x.Rule.Repeatable,
@@ -117,7 +123,7 @@
 
 	select {
 	case <-t.C:
-		_, ok := a.Isolate.letOut(c, x)
+		_, ok := a.Isolate.allow(c, x)
 
 		return ok
 	case <-c.Done():
@@ -125,9 +131,9 @@
 	}
 }
 
-// refused makes a refusal true of all attempts: "not run" would be a lie when
-// an earlier one may have run.
-func (a *Attempt) refused(x *exchanger.Exchange, r *exchanger.Refusal) error {
+// correctOutcome makes the outcome of a refusal valid for all attempts: the call may not
+// be reported as not run if an earlier attempt may have run.
+func (a *Attempt) correctOutcome(x *exchanger.Exchange, r *exchanger.Refusal) error {
 	if x.MayHaveRun {
 		r.Outcome = exchanger.Unknown
 	}
@@ -135,24 +141,24 @@
 	return r
 }
 
-// final returns the answer to a call whose attempts all failed.
-func (a *Attempt) final(c context.Context, x *exchanger.Exchange, err error) error {
+// failure returns the error for a call whose attempts all failed.
+func (a *Attempt) failure(c context.Context, x *exchanger.Exchange, err error) error {
 	switch {
 	case x.Request.Context().Err() != nil:
-		return exchanger.Fail(exchanger.CodeCallerHangUp, "the caller hung up")
+		return exchanger.Fail(exchanger.CodeCallerHangUp, "the caller closed the connection")
 	case c.Err() != nil && !x.MayHaveRun:
-		return exchanger.Refuse(http.StatusGatewayTimeout, exchanger.CodeDeadline, 0, "the deadline passed")
+		return exchanger.Refuse(http.StatusGatewayTimeout, exchanger.CodeDeadline, 0, "the deadline passed before the call was run")
 	case c.Err() != nil:
-		r := exchanger.Fail(exchanger.CodeDeadline, "the deadline passed")
+		r := exchanger.Fail(exchanger.CodeDeadline, "the deadline passed; the call may have run")
 		r.Status = http.StatusGatewayTimeout
 
 		return r
 	case x.Relayed:
-		return exchanger.Fail(exchanger.CodeBroken, "the answer broke off and could not be resumed")
+		return exchanger.Fail(exchanger.CodeBroken, "the streamed answer was interrupted and could not be resumed")
 	case x.MayHaveRun:
 		return exchanger.Fail(exchanger.CodeTargetFailed, "the target failed: %v", err)
 	default:
-		return exchanger.Refuse(http.StatusServiceUnavailable, exchanger.CodeTargetFailed, comeBack,
+		return exchanger.Refuse(http.StatusServiceUnavailable, exchanger.CodeTargetFailed, defaultRetryAfter,
 			"the target failed before it ran the call: %v", err)
 	}
 }
--- a/internal/filterer/claim.go
+++ b/internal/filterer/claim.go
@@ -14,33 +14,38 @@
 )
 
 const (
-	// claimSendWithin is how long after its claim a call may still be sent.
-	claimSendWithin = 10 * time.Second
-	// settleWait is how long an answer waits for its record. It goes out then
-	// all the same; a repeat that comes before the record is told to come back.
-	settleWait = 250 * time.Millisecond
-	// progressWait is when to come back for the answer of a call in progress.
-	progressWait = time.Second
+	// maxClaimAge is how long after the start of a claimed call it may still be sent
+	// to a target.
+	maxClaimAge = 10 * time.Second
+	// settleTimeout is how long an answer is delayed until its outcome is recorded. The
+	// answer is sent after it even if the outcome is not recorded yet; a repeated call
+	// that arrives before then is asked to retry later.
+	settleTimeout = 250 * time.Millisecond
+	// maxProgressRetryAfter limits the Retry-After of a call whose key belongs to a call
+	// in progress.
+	maxProgressRetryAfter = time.Second
 )
 
-// registrar claims and settles keys.
+// claims claims idempotency keys and records the outcomes of their calls.
 type claims interface {
 	Claim(c context.Context, q registrar.Claim) (registrar.Standing, error)
 	Settle(c context.Context, q registrar.Claim, o claimer.Outcome, a claimer.Answer) error
 }
 
-// Claim claims the key of a call that may not be repeated. It comes before the
-// place is asked for: a repeat whose call has run must get the recorded answer
-// also when the fleet is full, and never a "not run".
+// Claim claims the idempotency key of a call that may not be repeated. It runs before
+// Pick reserves a slot: a repeated call whose first call has run must get the recorded
+// answer even when all targets are full, and never the outcome "not run".
 type Claim struct {
 	Claims  claims
 	Counter *counter.Counter
 }
 
-// Name returns the name of the step.
+// Name implements exchanger.Filter.
 func (Claim) Name() string { return "claim" }
 
-// Apply claims the key, if the call has one and its rule forbids repeats.
+// Apply claims the key if the call has one and its rule does not permit repeats. It
+// fails with a Refusal if the key cannot be claimed or belongs to another call, and with
+// errAnswered if that call has run and its answer is recorded.
 func (f Claim) Apply(c context.Context, x *exchanger.Exchange) error {
 	if x.Rule.Repeatable || x.Key == "" {
 		return nil
@@ -49,7 +54,7 @@
 	q := registrar.Claim{
 		Key:    hasher.Key(x.Customer, x.Key),
 		Body:   hasher.Key(x.Request.Method, x.Request.URL.RequestURI(), string(x.Body)),
-		ID:     rand.Uint64(), //nolint:gosec // A number, no secret.
+		ID:     rand.Uint64(), //nolint:gosec // Not a secret.
 		Within: time.Until(x.Deadline),
 	}
 
@@ -57,8 +62,8 @@
 
 	s, err := f.Claims.Claim(c, q)
 	if err != nil {
-		return exchanger.Refuse(http.StatusServiceUnavailable, exchanger.CodeNoClaim, comeBack,
-			"the key can't be claimed now; this call was not run, an earlier one with the key may have")
+		return exchanger.Refuse(http.StatusServiceUnavailable, exchanger.CodeNoClaim, defaultRetryAfter,
+			"the idempotency key can't be claimed at the moment; this call was not run, an earlier one with the key may have run")
 	}
 
 	if s.Outcome == claimer.Won {
@@ -67,17 +72,17 @@
 		return nil
 	}
 
-	return f.standing(x, s)
+	return f.answerRepeat(x, s)
 }
 
-// standing answers a call whose key another call holds.
-func (f Claim) standing(x *exchanger.Exchange, s registrar.Standing) error {
+// answerRepeat answers a call whose key was claimed by another call.
+func (f Claim) answerRepeat(x *exchanger.Exchange, s registrar.Standing) error {
 	switch s.Outcome {
 	case claimer.Ran:
 		if s.Answer.Truncated {
 			return &exchanger.Refusal{
 				Code: exchanger.CodeNotRecorded, Status: http.StatusConflict, Outcome: exchanger.Ran,
-				Message: "the call ran; its answer was too long to be recorded",
+				Message: "the call ran, but its answer was streamed or too long to be recorded",
 			}
 		}
 
@@ -90,31 +95,31 @@
 		return errAnswered
 	case claimer.Mismatch:
 		return exchanger.Refuse(http.StatusUnprocessableEntity, exchanger.CodeKeyMismatch, 0,
-			"the key was used for another request")
+			"the idempotency key was used for a different request")
 	case claimer.InProgress:
 		return &exchanger.Refusal{
 			Code: exchanger.CodeInProgress, Status: http.StatusConflict, Outcome: exchanger.Unknown,
-			Message:    "a call with this key is in progress; come back for its answer",
-			RetryAfter: min(max(s.RetryAfter, time.Millisecond), progressWait),
+			Message:    "a call with this idempotency key is in progress; retry later to get its answer",
+			RetryAfter: min(max(s.RetryAfter, time.Millisecond), maxProgressRetryAfter),
 		}
 	default:
 		return &exchanger.Refusal{
 			Code: exchanger.CodeKeyUnknown, Status: http.StatusConflict, Outcome: exchanger.Unknown,
-			Message: "a call with this key may have run; it is not run again",
+			Message: "a call with this idempotency key may have run; it is not run again",
 		}
 	}
 }
 
-// sendable says whether the claimed call may still be sent. The clock is this
-// router's own monotonic one, which goes on while the process is paused: a
-// router that was frozen after its claim must not run a call of which another
-// router has meanwhile told the caller that it is unknown.
+// sendable reports whether the call may still be sent to a target. A claimed call expires
+// by this router's monotonic clock, which advances while the process is stalled: if a
+// router stalls after its claim, another may meanwhile have reported the call's outcome
+// as unknown, and the call must not run after that.
 func sendable(x *exchanger.Exchange, now time.Time) bool {
-	return x.Claim == nil || now.Sub(x.Start) < min(claimSendWithin, x.Deadline.Sub(x.Start))
+	return x.Claim == nil || now.Sub(x.Start) < min(maxClaimAge, x.Deadline.Sub(x.Start))
 }
 
-// settle records how a claimed call ended. It does so in the background when
-// the log is slow.
+// settle records the outcome of a claimed call. It returns after settleTimeout at the
+// latest; a slower write continues in the background.
 func (p *Pipeline) settle(x *exchanger.Exchange, err error) {
 	if x.Claim == nil {
 		return
@@ -141,7 +146,7 @@
 		_ = p.claims.Settle(context.Background(), *x.Claim, o, a)
 	})
 
-	t := time.NewTimer(settleWait)
+	t := time.NewTimer(settleTimeout)
 	defer t.Stop()
 
 	select {
--- a/internal/filterer/filterer_test.go
+++ b/internal/filterer/filterer_test.go
@@ -36,34 +36,35 @@
 	"github.com/auburntray/auburntray/internal/tracker"
 )
 
-// world is a fake of all that a call meets: claims, homes and targets.
-type world struct {
+// fakeDeps is a fake of the dependencies of a pipeline: claims, homes of cells and targets.
+type fakeDeps struct {
 	mu sync.Mutex
-	// claimTakes is how long a claim takes, and standing its outcome.
-	claimTakes time.Duration
-	standing   claimer.Outcome
-	claimErr   error
-	settled    []claimer.Outcome
-	// verdicts are what homes answer, in turn; then they grant.
-	verdicts []asker.Place
-	granted  int
-	released int
-	// outcomes are those that the places were given back with.
+	// claimDelay is the duration of a claim, and claimOutcome its outcome.
+	claimDelay   time.Duration
+	claimOutcome claimer.Outcome
+	claimErr     error
+	settled      []claimer.Outcome
+	// reservations are the answers to the first requests for a slot. Later requests
+	// are granted.
+	reservations []asker.Place
+	granted      int
+	released     int
+	// outcomes are the outcomes with which slots were released.
 	outcomes []granter.Outcome
-	// answers are what targets answer, in turn; then they answer well.
-	answers []func() (*http.Response, error)
-	sent    int
-	// still says that this process just stood still.
-	still bool
+	// responses are the results of the first calls to targets. Later calls succeed.
+	responses []func() (*http.Response, error)
+	sent      int
+	// stalled reports a stall of this process.
+	stalled bool
 }
 
-func (w *world) Claim(context.Context, registrar.Claim) (registrar.Standing, error) {
-	time.Sleep(w.claimTakes)
+func (w *fakeDeps) Claim(context.Context, registrar.Claim) (registrar.Standing, error) {
+	time.Sleep(w.claimDelay)
 
-	return registrar.Standing{Outcome: w.standing, Answer: claimer.Answer{Status: 200, Body: []byte("recorded")}}, w.claimErr
+	return registrar.Standing{Outcome: w.claimOutcome, Answer: claimer.Answer{Status: 200, Body: []byte("recorded")}}, w.claimErr
 }
 
-func (w *world) Settle(_ context.Context, _ registrar.Claim, o claimer.Outcome, _ claimer.Answer) error {
+func (w *fakeDeps) Settle(_ context.Context, _ registrar.Claim, o claimer.Outcome, _ claimer.Answer) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 
@@ -72,17 +73,17 @@
 	return nil
 }
 
-func (w *world) Ask(_ context.Context, r asker.Request) (asker.Place, error) {
-	if len(w.verdicts) > 0 {
-		v := w.verdicts[0]
-		w.verdicts = w.verdicts[1:]
+func (w *fakeDeps) Ask(_ context.Context, r asker.Request) (asker.Place, error) {
+	if len(w.reservations) > 0 {
+		v := w.reservations[0]
+		w.reservations = w.reservations[1:]
 
 		return v, nil
 	}
 
 	w.granted++
 
-	// Targets that were tried already are not granted again.
+	// A target that was tried already is not granted again.
 	n := "t0"
 	if len(r.Excluded) > 0 {
 		n = "t1"
@@ -91,31 +92,31 @@
 	return asker.Place{Target: hasher.Name(n)}, nil
 }
 
-func (w *world) Release(_ asker.Place, o granter.Outcome) {
+func (w *fakeDeps) Release(_ asker.Place, o granter.Outcome) {
 	w.released++
 	w.outcomes = append(w.outcomes, o)
 }
 
-func (w *world) Stalled(time.Time) bool                        { return w.still }
-func (w *world) Report(asker.Place, int, tracker.State)        {}
-func (w *world) Rest(asker.Place, time.Duration)               {}
-func (w *world) Cancel(*exchanger.Exchange)                    {}
-func (w *world) answer(b string, h http.Header) *http.Response { return response(200, b, h) }
+func (w *fakeDeps) Stalled(time.Time) bool                         { return w.stalled }
+func (w *fakeDeps) Report(asker.Place, int, tracker.State)         {}
+func (w *fakeDeps) Rest(asker.Place, time.Duration)                {}
+func (w *fakeDeps) Cancel(*exchanger.Exchange)                     {}
+func (w *fakeDeps) respond(b string, h http.Header) *http.Response { return response(200, b, h) }
 
-func (w *world) Send(context.Context, *exchanger.Exchange) (*http.Response, error) {
+func (w *fakeDeps) Send(context.Context, *exchanger.Exchange) (*http.Response, error) {
 	w.sent++
 
-	if len(w.answers) > 0 {
-		f := w.answers[0]
-		w.answers = w.answers[1:]
+	if len(w.responses) > 0 {
+		f := w.responses[0]
+		w.responses = w.responses[1:]
 
 		return f()
 	}
 
-	return w.answer("done", http.Header{}), nil
+	return w.respond("done", http.Header{}), nil
 }
 
-func (w *world) Resume(context.Context, *exchanger.Exchange, int) (*http.Response, error) {
+func (w *fakeDeps) Resume(context.Context, *exchanger.Exchange, int) (*http.Response, error) {
 	return nil, sender.ErrBroken
 }
 
@@ -123,7 +124,8 @@
 	return &http.Response{StatusCode: status, Header: h, Body: io.NopCloser(strings.NewReader(b))}
 }
 
-func force() *follower.Force {
+// configuration returns a configuration with two services.
+func configuration() *follower.Force {
 	d := parser.Document{
 		Targets: map[string]parser.Target{}, Customers: map[string]parser.Customer{"c": {}},
 		Rules: map[string]parser.Rule{
@@ -141,17 +143,17 @@
 	return &follower.Force{State: &folder.State{Revision: 1, Document: d}, Matcher: matcher.New(&d)}
 }
 
-// call sends one call through a pipeline over the world.
-func (w *world) call(method string) *httptest.ResponseRecorder {
+// call sends one call through a pipeline with the fake dependencies.
+func (w *fakeDeps) call(method string) *httptest.ResponseRecorder {
 	n := counter.New()
-	f := force()
+	f := configuration()
 	p := filterer.New(drainer.New(time.Second, 10), w, n, noop.NewTracerProvider().Tracer(""),
 		filterer.Accept{MaxBody: 1000},
 		filterer.Identify{Deadline: time.Minute, MaxDeadline: time.Minute},
-		filterer.Match{Force: func() *follower.Force { return f }},
+		filterer.Match{Config: func() *follower.Force { return f }},
 		filterer.Claim{Claims: w, Counter: n},
-		filterer.NewAttempt(w, n, filterer.Isolate{}, filterer.Pick{Places: w, Region: "r", Counter: n},
-			filterer.Send{Targets: w, Places: w, Pauses: w}, filterer.Relay{Targets: w, Counter: n}),
+		filterer.NewAttempt(w, n, filterer.Isolate{}, filterer.Pick{Slots: w, Region: "r", Counter: n},
+			filterer.Send{Targets: w, Slots: w, Stalls: w}, filterer.Relay{Targets: w, Counter: n}),
 	)
 	q := httptest.NewRequest(method, "/x", strings.NewReader("body"))
 	q.Header.Set(exchanger.HeaderCustomer, "c")
@@ -164,16 +166,18 @@
 	return r
 }
 
-func failing(err error) func() (*http.Response, error) {
+// failWith returns a call to a target that fails.
+func failWith(err error) func() (*http.Response, error) {
 	return func() (*http.Response, error) { return nil, err }
 }
 
-func answering(status int, name, value string) func() (*http.Response, error) {
+// respondWith returns a call to a target that answers with a status and one header.
+func respondWith(status int, name, value string) func() (*http.Response, error) {
 	return func() (*http.Response, error) { return response(status, "", http.Header{name: {value}}), nil }
 }
 
-// What a call is told, whether it was sent, and what is recorded under its key
-// must agree, whatever fails on its way.
+// For each failure on the path of a call, the outcome reported to the caller, the number
+// of sends and the outcome recorded under the key must be consistent.
 func TestCalls(t *testing.T) {
 	logrus.SetLevel(logrus.FatalLevel)
 
@@ -181,115 +185,114 @@
 
 	for name, tc := range map[string]struct {
 		method  string
-		world   *world
+		deps    *fakeDeps
 		want    exchanger.Outcome
 		sent    int
 		settled []claimer.Outcome
 	}{
-		"a booking": {
-			"POST", &world{standing: claimer.Won}, exchanger.Ran, 1, []claimer.Outcome{claimer.Ran},
+		"call with a key succeeds": {
+			"POST", &fakeDeps{claimOutcome: claimer.Won}, exchanger.Ran, 1, []claimer.Outcome{claimer.Ran},
 		},
-		// The router is paused right after its claim won. By the time it wakes,
-		// the caller may have been told by another that the call is unknown.
-		"paused after the claim": {
-			"POST", &world{standing: claimer.Won, claimTakes: 11 * time.Second}, exchanger.NotRun, 0, []claimer.Outcome{claimer.NotRun},
+		// The router stalls right after its claim succeeded. By the time it
+		// continues, another router may have reported the call as unknown.
+		"stalled after the claim": {
+			"POST", &fakeDeps{claimOutcome: claimer.Won, claimDelay: 11 * time.Second}, exchanger.NotRun, 0, []claimer.Outcome{claimer.NotRun},
 		},
 		"refused after the claim": {
-			"POST", &world{standing: claimer.Won, verdicts: []asker.Place{refused, refused}}, exchanger.NotRun, 0, []claimer.Outcome{claimer.NotRun},
+			"POST", &fakeDeps{claimOutcome: claimer.Won, reservations: []asker.Place{refused, refused}}, exchanger.NotRun, 0, []claimer.Outcome{claimer.NotRun},
 		},
-		"the log is down": {
-			"POST", &world{claimErr: registrar.ErrNotClaimed}, exchanger.NotRun, 0, nil,
+		"claim log unavailable": {
+			"POST", &fakeDeps{claimErr: registrar.ErrNotClaimed}, exchanger.NotRun, 0, nil,
 		},
-		"it ran before": {"POST", &world{standing: claimer.Ran}, exchanger.Ran, 0, nil},
-		"it runs":       {"POST", &world{standing: claimer.InProgress}, exchanger.Unknown, 0, nil},
-		"its holder died, or may have": {
-			"POST", &world{standing: claimer.Unknown}, exchanger.Unknown, 0, nil,
+		"key of a call that ran":    {"POST", &fakeDeps{claimOutcome: claimer.Ran}, exchanger.Ran, 0, nil},
+		"key of a call in progress": {"POST", &fakeDeps{claimOutcome: claimer.InProgress}, exchanger.Unknown, 0, nil},
+		"key of a call whose router may have crashed": {
+			"POST", &fakeDeps{claimOutcome: claimer.Unknown}, exchanger.Unknown, 0, nil,
 		},
-		"no connection, then another target": {
-			"POST", &world{standing: claimer.Won, answers: []func() (*http.Response, error){failing(sender.ErrNeverSent)}},
+		"no connection, retried at another target": {
+			"POST", &fakeDeps{claimOutcome: claimer.Won, responses: []func() (*http.Response, error){failWith(sender.ErrNeverSent)}},
 			exchanger.Ran, 2, []claimer.Outcome{claimer.Ran},
 		},
-		"cut after it was sent": {
-			"POST", &world{standing: claimer.Won, answers: []func() (*http.Response, error){failing(sender.ErrBroken)}},
+		"connection lost after sending": {
+			"POST", &fakeDeps{claimOutcome: claimer.Won, responses: []func() (*http.Response, error){failWith(sender.ErrBroken)}},
 			exchanger.Unknown, 1, []claimer.Outcome{claimer.Unknown},
 		},
-		"the target did not run it": {
-			"POST", &world{standing: claimer.Won, answers: []func() (*http.Response, error){answering(503, exchanger.TargetNotRun, "true")}},
+		"target reports not run": {
+			"POST", &fakeDeps{claimOutcome: claimer.Won, responses: []func() (*http.Response, error){respondWith(503, exchanger.TargetNotRun, "true")}},
 			exchanger.Ran, 2, []claimer.Outcome{claimer.Ran},
 		},
-		"an answer to another request": {
-			"POST", &world{standing: claimer.Won, answers: []func() (*http.Response, error){answering(200, exchanger.TargetRequestID, "other")}},
+		"answer to another request": {
+			"POST", &fakeDeps{claimOutcome: claimer.Won, responses: []func() (*http.Response, error){respondWith(200, exchanger.TargetRequestID, "other")}},
 			exchanger.Unknown, 1, []claimer.Outcome{claimer.Unknown},
 		},
-		"a read that was cut is repeated": {
-			"GET", &world{answers: []func() (*http.Response, error){failing(sender.ErrBroken), answering(500, "X", "y")}}, exchanger.Ran, 3, nil,
+		"repeatable call is retried": {
+			"GET", &fakeDeps{responses: []func() (*http.Response, error){failWith(sender.ErrBroken), respondWith(500, "X", "y")}}, exchanger.Ran, 3, nil,
 		},
-		"a read refused after it was cut may have run": {
-			"GET", &world{verdicts: []asker.Place{{Target: hasher.Name("t0")}, refused, refused}, answers: []func() (*http.Response, error){failing(sender.ErrBroken)}},
+		"refused after an attempt that may have run": {
+			"GET", &fakeDeps{reservations: []asker.Place{{Target: hasher.Name("t0")}, refused, refused}, responses: []func() (*http.Response, error){failWith(sender.ErrBroken)}},
 			exchanger.Unknown, 1, nil,
 		},
-		"a home that sends elsewhere, then waits": {
-			"GET", &world{verdicts: []asker.Place{
-				{Reason: granter.Elsewhere, Target: force().Matcher.Cells()[0].ID}, {Reason: granter.Wait, RetryAfter: time.Second},
+		"cell redirects, then asks to wait": {
+			"GET", &fakeDeps{reservations: []asker.Place{
+				{Reason: granter.Elsewhere, Target: configuration().Matcher.Cells()[0].ID}, {Reason: granter.Wait, RetryAfter: time.Second},
 			}}, exchanger.Ran, 1, nil,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				i := is.New(t)
-				w := tc.world
+				w := tc.deps
 				r := w.call(tc.method)
 
 				i.Equal(r.Header().Get(exchanger.HeaderOutcome), string(tc.want))
 				i.Equal(w.sent, tc.sent)
 				i.Equal(w.settled, tc.settled)
 				i.True(tc.want == exchanger.Ran || r.Code >= 400)
-				i.True(w.released >= w.granted) // every place is given back
+				i.True(w.released >= w.granted) // every slot is released
 			})
 		})
 	}
 }
 
-// This router stands still while it dials a target for a call, and on waking the dial
-// has run out of time. The call goes to another target, and nothing is held against the
-// first; a target that is mute while the router runs, that refuses the connection, or
-// that broke the call off, failed.
-func TestAPauseIsNotHeldAgainstATarget(t *testing.T) {
+// Guards against targets being marked unhealthy because of a stall of the router: a dial
+// that times out while the process is stalled does not count as a failure of the target.
+// A time-out without a stall, a refused connection and a broken connection do.
+func TestStallDoesNotCountAgainstTarget(t *testing.T) {
 	logrus.SetLevel(logrus.FatalLevel)
 
-	well := granter.Outcome{OK: true}
+	ok := granter.Outcome{OK: true}
 	late := &net.OpError{Op: "dial", Err: os.ErrDeadlineExceeded}
 	refused := &net.OpError{Op: "dial", Err: syscall.ECONNREFUSED}
 
 	for name, tc := range map[string]struct {
-		err   error
-		still bool
-		want  granter.Outcome
+		err     error
+		stalled bool
+		want    granter.Outcome
 	}{
-		"stood still, the dial ran out": {errors.Mark(late, sender.ErrNeverSent), true, granter.Outcome{OK: true, NeverSent: true}},
-		"runs, the dial ran out":        {errors.Mark(late, sender.ErrNeverSent), false, granter.Outcome{}},
-		"stood still, refused":          {errors.Mark(refused, sender.ErrNeverSent), true, granter.Outcome{}},
-		"runs, refused":                 {errors.Mark(refused, sender.ErrNeverSent), false, granter.Outcome{}},
-		"stood still, broke off":        {errors.Mark(io.ErrUnexpectedEOF, sender.ErrBroken), true, granter.Outcome{}},
-		"stood still, sent, timed out":  {errors.Mark(late, sender.ErrBroken), true, granter.Outcome{}},
+		"stalled, dial timed out":          {errors.Mark(late, sender.ErrNeverSent), true, granter.Outcome{OK: true, NeverSent: true}},
+		"running, dial timed out":          {errors.Mark(late, sender.ErrNeverSent), false, granter.Outcome{}},
+		"stalled, connection refused":      {errors.Mark(refused, sender.ErrNeverSent), true, granter.Outcome{}},
+		"running, connection refused":      {errors.Mark(refused, sender.ErrNeverSent), false, granter.Outcome{}},
+		"stalled, connection broken":       {errors.Mark(io.ErrUnexpectedEOF, sender.ErrBroken), true, granter.Outcome{}},
+		"stalled, timed out after sending": {errors.Mark(late, sender.ErrBroken), true, granter.Outcome{}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				i := is.New(t)
-				w := &world{still: tc.still, answers: []func() (*http.Response, error){failing(tc.err)}}
+				w := &fakeDeps{stalled: tc.stalled, responses: []func() (*http.Response, error){failWith(tc.err)}}
 
 				i.Equal(w.call(http.MethodGet).Header().Get(exchanger.HeaderOutcome), string(exchanger.Ran))
-				i.Equal(w.outcomes, []granter.Outcome{tc.want, well})
+				i.Equal(w.outcomes, []granter.Outcome{tc.want, ok})
 			})
 		})
 	}
 }
 
-// A body that can't be read is the caller's fault, and tells nobody anything.
-func TestABodyThatBreaksOff(t *testing.T) {
+// A request body that cannot be read is an error of the caller.
+func TestTruncatedRequestBody(t *testing.T) {
 	i := is.New(t)
 	x := &exchanger.Exchange{
-		Writer: httptest.NewRecorder(), Request: httptest.NewRequest(http.MethodPost, "/", io.MultiReader(strings.NewReader("a"), broken{})),
+		Writer: httptest.NewRecorder(), Request: httptest.NewRequest(http.MethodPost, "/", io.MultiReader(strings.NewReader("a"), brokenReader{})),
 	}
 	err := filterer.Accept{MaxBody: 10}.Apply(t.Context(), x)
 
@@ -299,6 +302,7 @@
 	i.Equal(r.Code, exchanger.CodeBadRequest)
 }
 
-type broken struct{}
+// brokenReader is a body whose connection is lost.
+type brokenReader struct{}
 
-func (broken) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
+func (brokenReader) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
--- a/internal/filterer/identify.go
+++ b/internal/filterer/identify.go
@@ -14,49 +14,56 @@
 
 const (
 	completionsPath = "/v1/chat/completions"
-	bytesPerToken   = 4
-	maxName         = 256
+	// bytesPerToken is the average length of a token, for estimates of a prompt's length.
+	bytesPerToken = 4
+	// maxNameBytes is the largest length of a customer, idempotency key or chat in a header.
+	maxNameBytes = 256
 )
 
-// Identify finds out who calls, which chat it is, and how long it may take.
+// Identify determines the customer, the idempotency key, the deadline and the chat of a
+// call.
 type Identify struct {
-	Deadline    time.Duration
+	// Deadline is the time allowed for a call that requests no deadline.
+	Deadline time.Duration
+	// MaxDeadline is the longest time that a call may request.
 	MaxDeadline time.Duration
 }
 
-// Name returns the name of the step.
+// Name implements exchanger.Filter.
 func (Identify) Name() string { return "identify" }
 
-// Apply reads the headers and, for a chat completion, the body.
+// Apply reads the headers and, for a chat completion, the body. It fails with a Refusal
+// if one of them is invalid.
 func (i Identify) Apply(_ context.Context, x *exchanger.Exchange) error {
 	h := x.Request.Header
 	x.Customer = h.Get(exchanger.HeaderCustomer)
 	x.Key = h.Get(exchanger.HeaderKey)
 
-	if x.Customer == "" || len(x.Customer) > maxName {
+	if x.Customer == "" || len(x.Customer) > maxNameBytes {
 		return exchanger.Refuse(http.StatusBadRequest, exchanger.CodeNoCustomer, 0,
-			"%s: must be 1 to %d bytes", exchanger.HeaderCustomer, maxName)
+			"%s: must be 1 to %d bytes", exchanger.HeaderCustomer, maxNameBytes)
 	}
 
-	if len(x.Key) > maxName || len(h.Get(exchanger.HeaderChat)) > maxName {
+	if len(x.Key) > maxNameBytes || len(h.Get(exchanger.HeaderChat)) > maxNameBytes {
 		return exchanger.Refuse(http.StatusBadRequest, exchanger.CodeBadRequest, 0,
-			"%s and %s: must be at most %d bytes", exchanger.HeaderKey, exchanger.HeaderChat, maxName)
+			"%s and %s: must be at most %d bytes", exchanger.HeaderKey, exchanger.HeaderChat, maxNameBytes)
 	}
 
-	if err := i.deadline(x); err != nil {
+	if err := i.setDeadline(x); err != nil {
 		return err
 	}
 
 	x.Traffic = matcher.Traffic{Path: x.Request.URL.Path, Method: x.Request.Method, Customer: x.Customer}
 
 	if x.Request.Method == http.MethodPost && x.Request.URL.Path == completionsPath {
-		return completion(x)
+		return parseCompletion(x)
 	}
 
 	return nil
 }
 
-func (i Identify) deadline(x *exchanger.Exchange) error {
+// setDeadline sets the deadline of the call from its header, or the default.
+func (i Identify) setDeadline(x *exchanger.Exchange) error {
 	x.Deadline = x.Start.Add(i.Deadline)
 
 	v := x.Request.Header.Get(exchanger.HeaderDeadline)
@@ -80,8 +87,8 @@
 	Content json.RawMessage `json:"content"`
 }
 
-// completion reads what routing needs of a chat completion.
-func completion(x *exchanger.Exchange) error {
+// parseCompletion reads the fields of a chat completion that routing needs.
+func parseCompletion(x *exchanger.Exchange) error {
 	var b struct {
 		Model    string    `json:"model"`
 		Messages []message `json:"messages"`
@@ -89,7 +96,7 @@
 	}
 
 	if err := json.Unmarshal(x.Body, &b); err != nil {
-		return exchanger.Refuse(http.StatusBadRequest, exchanger.CodeBadRequest, 0, "the body is no chat completion: %v", err)
+		return exchanger.Refuse(http.StatusBadRequest, exchanger.CodeBadRequest, 0, "the body is not a valid chat completion: %v", err)
 	}
 
 	if len(b.Messages) == 0 {
@@ -100,15 +107,16 @@
 	x.Stream = b.Stream
 	x.Traffic.Model = b.Model
 	x.Prompt = len(x.Body) / bytesPerToken
-	x.Chat = chat(x, b.Model, b.Messages)
-	x.Hint = hint(x.Request.Header.Get(exchanger.HeaderPlace))
+	x.Chat = chatKey(x, b.Model, b.Messages)
+	x.Hint = parsePlacementToken(x.Request.Header.Get(exchanger.HeaderPlace))
 
 	return nil
 }
 
-// chat returns the chat's key: by its header, or by the beginning of the
-// prompt up to the first message of the user, which stays when a chat returns.
-func chat(x *exchanger.Exchange, model string, m []message) uint64 {
+// chatKey returns the hash that identifies the chat. It is computed from the chat header
+// or, without one, from the messages up to the first one of the user, which all calls of
+// a chat have in common.
+func chatKey(x *exchanger.Exchange, model string, m []message) uint64 {
 	if n := x.Request.Header.Get(exchanger.HeaderChat); n != "" {
 		return hasher.Key(x.Customer, model, n)
 	}
@@ -126,14 +134,16 @@
 	return hasher.Key(p...)
 }
 
+// Format of a placement token: the target's ID as a number in base 36.
 const (
-	hintBase = 36
-	hintBits = 32
+	tokenBase = 36
+	tokenBits = 32
 )
 
-// hint reads the token that a caller returned; one that can't be read is none.
-func hint(v string) uint32 {
-	n, err := strconv.ParseUint(v, hintBase, hintBits)
+// parsePlacementToken returns the ID of the target in a placement token that a caller
+// sent, or zero if the token is missing or invalid.
+func parsePlacementToken(v string) uint32 {
+	n, err := strconv.ParseUint(v, tokenBase, tokenBits)
 	if err != nil {
 		return 0
 	}
@@ -141,7 +151,8 @@
 	return uint32(n)
 }
 
-// token returns the text that a caller returns with the chat's next message.
-func token(target uint32) string {
-	return strconv.FormatUint(uint64(target), hintBase)
+// placementToken returns the token that a caller sends with the next call of a chat, so
+// that the call goes to the same target.
+func placementToken(target uint32) string {
+	return strconv.FormatUint(uint64(target), tokenBase)
 }
--- a/internal/filterer/isolate.go
+++ b/internal/filterer/isolate.go
@@ -17,41 +17,45 @@
 )
 
 const (
-	// witnessesMost is how many other targets are dialled to tell an end from a cut.
-	witnessesMost = 2
-	// sameEnd is how long the ends of a target that routers find are taken for one. It has an
-	// ID that stays, and is not back so soon.
-	sameEnd = time.Second
+	// maxOtherTargets is how many other targets are dialled to distinguish a crash from a
+	// network partition.
+	maxOtherTargets = 2
+	// crashWindow is the period within which crashes of a target, reported by any router,
+	// count as the same crash. A target keeps its ID when it restarts, and no restart is
+	// faster than that.
+	crashWindow = time.Second
 )
 
-// quarantine remembers under which calls targets have ended, at all routers.
+// quarantine records which calls were running on targets that crashed, for all routers.
 type quarantine interface {
 	Try(c context.Context, d digester.Digest, deadline time.Time) (quarantiner.Verdict, bool, func())
 	Ended(d digester.Digest, p enroller.Name) quarantiner.Verdict
 	Served(d digester.Digest)
 }
 
-// prober finds out whether a target's process has ended.
+// prober determines whether a target's process has crashed.
 type prober interface {
 	Ended(c context.Context, a netip.AddrPort, others []netip.AddrPort) bool
 }
 
-// Isolate refuses calls under which targets have ended again and again, before they cost
-// anything: each target that began to run one would end too, and break all its other calls. The
-// zero value refuses none.
+// Isolate refuses calls that repeatedly crashed targets. Any further target that runs such
+// a call would crash too and interrupt all its other calls. The zero value refuses no call.
 type Isolate struct {
+	// Quarantine is nil if no call is refused.
 	Quarantine quarantine
-	Targets    prober
+	// Targets is required with a Quarantine.
+	Targets prober
 }
 
-// Name returns the name of the step.
+// Name implements exchanger.Filter.
 func (Isolate) Name() string { return "isolate" }
 
-// Apply lets a call go on, or refuses it.
+// Apply computes the digest of the call and fails with a Refusal if the call is
+// quarantined.
 func (i Isolate) Apply(c context.Context, x *exchanger.Exchange) error {
 	x.Digest = digester.Of(x.Customer, x.Request.Method, x.Request.URL.RequestURI(), x.Body)
 
-	v, ok := i.letOut(c, x)
+	v, ok := i.allow(c, x)
 	if ok {
 		return nil
 	}
@@ -59,13 +63,14 @@
 	return exchanger.Refuse(http.StatusServiceUnavailable, exchanger.CodeHeldBack, v.RetryAfter(), "%s", v.Reason(time.Now()))
 }
 
-// letOut says whether a call may be sent to a target now.
-func (i Isolate) letOut(c context.Context, x *exchanger.Exchange) (quarantiner.Verdict, bool) {
+// allow reports whether the call may be sent to a target now, and otherwise returns the
+// verdict that forbids it. It may wait for another trial of the same call.
+func (i Isolate) allow(c context.Context, x *exchanger.Exchange) (quarantiner.Verdict, bool) {
 	if i.Quarantine == nil {
 		return quarantiner.Verdict{}, true
 	}
 
-	i.over(x)
+	i.endTrial(x)
 
 	v, ok, end := i.Quarantine.Try(c, x.Digest, x.Deadline)
 	x.EndTrial = end
@@ -73,22 +78,22 @@
 	return v, ok
 }
 
-// over tells that the sending that was let out is over, if one was.
-func (Isolate) over(x *exchanger.Exchange) {
+// endTrial reports that the current trial of the call has ended, if there is one.
+func (Isolate) endTrial(x *exchanger.Exchange) {
 	if x.EndTrial != nil {
 		x.EndTrial()
 		x.EndTrial = nil
 	}
 }
 
-// learn takes from an attempt whether its target has ended under the call, or has survived it.
-func (i Isolate) learn(c context.Context, x *exchanger.Exchange, err error) {
+// recordResult records whether the target crashed while running the call or served it.
+func (i Isolate) recordResult(c context.Context, x *exchanger.Exchange, err error) {
 	switch {
 	case i.Quarantine == nil:
 	case err == nil:
 		i.Quarantine.Served(x.Digest)
-	case c.Err() == nil && x.Result.Sent && !x.Result.NotRun && x.Result.TargetFailed && i.Targets.Ended(c, x.Target.Address, witnesses(x)):
-		v := i.Quarantine.Ended(x.Digest, process(x.Target, time.Now()))
+	case c.Err() == nil && x.Result.Sent && !x.Result.NotRun && x.Result.TargetFailed && i.Targets.Ended(c, x.Target.Address, otherTargets(x)):
+		v := i.Quarantine.Ended(x.Digest, processName(x.Target, time.Now()))
 
 		logrus.WithFields(logrus.Fields{
 			"event": "targetEnded", "request": x.ID, "digest": x.Digest, "target": x.Target.Name, "ends": v.Crashes, "standing": v.Status,
@@ -96,9 +101,10 @@
 	}
 }
 
-// witnesses returns the addresses of other targets of the rule in the data centre of the call's:
-// where those refuse too, it may just be cut off.
-func witnesses(x *exchanger.Exchange) []netip.AddrPort {
+// otherTargets returns the addresses of other targets of the rule in the same data centre as
+// the call's target. If these refuse connections too, the data centre may be unreachable
+// rather than the target crashed.
+func otherTargets(x *exchanger.Exchange) []netip.AddrPort {
 	var o []netip.AddrPort
 
 	for _, t := range x.Rule.Targets {
@@ -107,12 +113,13 @@
 		}
 	}
 
-	return o[:min(len(o), witnessesMost)]
+	return o[:min(len(o), maxOtherTargets)]
 }
 
-// process names the process of a target that has just ended.
-func process(t *matcher.Target, now time.Time) enroller.Name {
-	k := hasher.Mix(uint64(t.ID), uint64(now.Truncate(sameEnd).UnixMilli()))
+// processName returns a name for the process of a target that has just crashed. It is the
+// same for all routers that notice the crash within one crashWindow.
+func processName(t *matcher.Target, now time.Time) enroller.Name {
+	k := hasher.Mix(uint64(t.ID), uint64(now.Truncate(crashWindow).UnixMilli()))
 
-	return enroller.Name(uint32(k)) //nolint:gosec // The low half is the name.
+	return enroller.Name(uint32(k)) //nolint:gosec // The name is the low half of the hash.
 }
--- a/internal/filterer/match.go
+++ b/internal/filterer/match.go
@@ -9,34 +9,37 @@
 	"github.com/auburntray/auburntray/internal/follower"
 )
 
-// comeBack is when to come back after a refusal that is likely to be over soon.
-const comeBack = 2 * time.Second
+// defaultRetryAfter is the Retry-After of refusals with a cause that is likely to be
+// short-lived.
+const defaultRetryAfter = 2 * time.Second
 
-// Match finds the rule that the call falls under.
+// Match selects the rule for the call.
 type Match struct {
-	Force func() *follower.Force
+	// Config returns the configuration in force.
+	Config func() *follower.Force
 }
 
-// Name returns the name of the step.
+// Name implements exchanger.Filter.
 func (Match) Name() string { return "match" }
 
-// Apply notes the configuration in force, which the call keeps to its end, and
-// its rule.
+// Apply sets the configuration, which the call uses until it ends, and the rule. It fails
+// with a Refusal if no configuration is in force, the customer is unknown, or no rule
+// matches.
 func (m Match) Apply(_ context.Context, x *exchanger.Exchange) error {
-	x.Force = m.Force()
+	x.Force = m.Config()
 
 	if x.Force.State.Revision == 0 {
-		return exchanger.Refuse(http.StatusServiceUnavailable, exchanger.CodeNotReady, comeBack,
-			"no configuration is in force here yet")
+		return exchanger.Refuse(http.StatusServiceUnavailable, exchanger.CodeNotReady, defaultRetryAfter,
+			"this router has no configuration yet")
 	}
 
 	if !x.Force.Matcher.Known(x.Customer) {
-		return exchanger.Refuse(http.StatusForbidden, exchanger.CodeNoCustomer, 0, "customer %q is not known", x.Customer)
+		return exchanger.Refuse(http.StatusForbidden, exchanger.CodeNoCustomer, 0, "customer %q is unknown", x.Customer)
 	}
 
 	x.Rule = x.Force.Matcher.Match(x.Traffic)
 	if x.Rule == nil {
-		return exchanger.Refuse(http.StatusNotFound, exchanger.CodeNoRule, 0, "no rule selects this call")
+		return exchanger.Refuse(http.StatusNotFound, exchanger.CodeNoRule, 0, "no rule matches this call")
 	}
 
 	return nil
--- a/internal/filterer/pick.go
+++ b/internal/filterer/pick.go
@@ -14,35 +14,36 @@
 	"github.com/auburntray/auburntray/internal/tracker"
 )
 
-// maxCells is how many cells a call asks for a place.
-const maxCells = 4
+// maxCellsPerAttempt is how many cells one attempt requests a slot from.
+const maxCellsPerAttempt = 4
 
-// places asks for places and gives them back.
-type places interface {
+// slots reserves and releases slots at targets and reports the load of targets.
+type slots interface {
 	Ask(c context.Context, r asker.Request) (asker.Place, error)
 	Release(p asker.Place, o granter.Outcome)
 	Report(p asker.Place, requests int, s tracker.State)
 	Rest(p asker.Place, d time.Duration)
 }
 
-// Pick gets a place on a target.
+// Pick reserves a slot at a target.
 type Pick struct {
-	Places  places
+	Slots slots
+	// Region is the region of this router.
 	Region  string
 	Counter *counter.Counter
 }
 
-// Name returns the name of the step.
+// Name implements exchanger.Filter.
 func (Pick) Name() string { return "pick" }
 
-// Apply asks the cells that the rule selects, the chat's first, until one
-// grants a place.
+// Apply requests a slot from the cells of the rule, in order of preference for the chat,
+// until one grants it. It fails with a Refusal if none does.
 func (p Pick) Apply(c context.Context, x *exchanger.Exchange) error {
-	l := p.cells(x)
-	v := asker.Place{Reason: granter.NoTargets, RetryAfter: comeBack}
+	l := p.rankedCells(x)
+	v := asker.Place{Reason: granter.NoTargets, RetryAfter: defaultRetryAfter}
 
-	for i, y := range l[:min(len(l), maxCells)] {
-		r, err := p.ask(c, x.Force.Matcher, asker.Request{
+	for i, y := range l[:min(len(l), maxCellsPerAttempt)] {
+		r, err := p.reserve(c, x.Force.Matcher, asker.Request{
 			Cell: y, Rule: x.Rule.ID, Customer: hasher.Name(x.Customer), Chat: x.Chat,
 			Prompt: x.Prompt, Hint: x.Hint, Excluded: x.Excluded,
 		})
@@ -51,27 +52,28 @@
 		}
 
 		if r.Reason == granter.Granted {
-			return p.granted(x, r)
+			return p.useGrant(x, r)
 		}
 
 		v = r
 
-		// Capacity that is idle in another cell is the customer's to use, but
-		// one that surges must not have each of its calls ask everywhere.
+		// A customer beyond its share may use idle capacity of another cell. The
+		// search ends at the next cell that refuses for the same reason, so that a
+		// surge of one customer does not send requests to all cells.
 		if r.Reason == granter.OverShare && i > 0 {
 			break
 		}
 	}
 
-	return p.refuse(v)
+	return p.refusal(v)
 }
 
-// ask asks one cell, and again as long as the chat's place is worth waiting for,
-// or once more where the cell sends it.
-func (p Pick) ask(c context.Context, m *matcher.Matcher, r asker.Request) (asker.Place, error) {
+// reserve requests a slot from one cell. It repeats the request while the cell's answer is
+// to wait for the target of the chat's placement, and follows one redirect to another cell.
+func (p Pick) reserve(c context.Context, m *matcher.Matcher, r asker.Request) (asker.Place, error) {
 	for {
 		y, end := span(c, "ask")
-		v, err := p.Places.Ask(y, r)
+		v, err := p.Slots.Ask(y, r)
 		end(err)
 
 		if err != nil || v.Reason != granter.Wait && v.Reason != granter.Elsewhere {
@@ -103,7 +105,9 @@
 	}
 }
 
-func (p Pick) granted(x *exchanger.Exchange, r asker.Place) error {
+// useGrant sets the target of the granted slot. It fails with a Refusal if this router does
+// not know the target.
+func (p Pick) useGrant(x *exchanger.Exchange, r asker.Place) error {
 	x.Place = r
 	x.Target = x.Force.Matcher.Target(r.Target)
 
@@ -111,37 +115,39 @@
 		p.Counter.Add(counter.Returned, 1)
 	}
 
-	// The home may already follow a revision with a target that is not known
-	// here yet.
+	// The home of the cell may have a newer revision with a target that this router
+	// does not know yet.
 	if x.Target == nil {
-		p.Places.Release(r, granter.Outcome{OK: true, NeverSent: true})
+		p.Slots.Release(r, granter.Outcome{OK: true, NeverSent: true})
 
 		return exchanger.Refuse(http.StatusServiceUnavailable, exchanger.CodeNotReady, time.Second,
-			"this router is a revision behind")
+			"the configuration of this router is out of date")
 	}
 
 	return nil
 }
 
-func (p Pick) refuse(v asker.Place) error {
+// refusal returns the Refusal for a request that no cell granted.
+func (p Pick) refusal(v asker.Place) error {
 	switch v.Reason {
 	case granter.OverShare:
 		p.Counter.Add(counter.RefusedShare, 1)
 
 		return exchanger.Refuse(http.StatusTooManyRequests, exchanger.CodeOverShare, v.RetryAfter,
-			"the customer has its share of the targets, and none is idle")
+			"the customer uses its full share of the targets, and no capacity is idle")
 	case granter.Full:
 		p.Counter.Add(counter.RefusedFull, 1)
 
-		return exchanger.Refuse(http.StatusServiceUnavailable, exchanger.CodeFull, v.RetryAfter, "all targets are full")
+		return exchanger.Refuse(http.StatusServiceUnavailable, exchanger.CodeFull, v.RetryAfter, "all targets are at capacity")
 	default:
 		return exchanger.Refuse(http.StatusServiceUnavailable, exchanger.CodeNoTargets, v.RetryAfter,
-			"no target that the rule selects is in service")
+			"no target of the rule is in service")
 	}
 }
 
-// cells returns the cells to ask, that of the caller's token first.
-func (p Pick) cells(x *exchanger.Exchange) []*matcher.Cell {
+// rankedCells returns the cells of the rule in the order in which to request a slot. The
+// cell with the target of the caller's placement token is first if it is in this region.
+func (p Pick) rankedCells(x *exchanger.Exchange) []*matcher.Cell {
 	k := x.Chat
 	if k == 0 {
 		k = hasher.Key(x.ID)
--- a/internal/filterer/pipeline.go
+++ b/internal/filterer/pipeline.go
@@ -1,6 +1,6 @@
-// Package filterer holds the filters that a call passes through, in this order:
-// accept, identify, match, claim, then for each attempt pick, send and relay,
-// and at the end settle.
+// Package filterer implements the filters that a call passes through. Their order is
+// accept, identify, match, isolate, claim and, for each attempt, pick, send and relay. At
+// the end the pipeline records the outcome of a claimed call.
 package filterer
 
 import (
@@ -24,28 +24,31 @@
 	"github.com/auburntray/auburntray/internal/exchanger"
 )
 
-// errAnswered ends a call early with the answer that it carries.
+// errAnswered ends the pipeline early with the answer that is set in the exchange.
 var errAnswered = errors.New("answered")
 
+// tracerKey is the context key of the call's tracer.
 type tracerKey struct{}
 
 // Pipeline serves calls. It is safe for concurrent use.
 type Pipeline struct {
-	filters  []exchanger.Filter
-	drainer  *drainer.Drainer
-	claims   claims
-	counter  *counter.Counter
-	tracer   trace.Tracer
+	filters []exchanger.Filter
+	drainer *drainer.Drainer
+	claims  claims
+	counter *counter.Counter
+	tracer  trace.Tracer
+	// settling counts the outcomes that are being recorded.
 	settling sync.WaitGroup
 }
 
-// New returns a Pipeline over the given filters.
+// New returns a Pipeline that applies the given filters in order. The first two must set
+// the start time and the deadline of the call.
 func New(d *drainer.Drainer, m claims, n *counter.Counter, t trace.Tracer, f ...exchanger.Filter) *Pipeline {
 	return &Pipeline{filters: f, drainer: d, claims: m, counter: n, tracer: t}
 }
 
-// ServeHTTP serves one call. While the router stops, or has too much to do, it
-// answers that the call was not run.
+// ServeHTTP serves one call. While the router is stopping or at its limit of concurrent
+// calls, it answers that the call was not run.
 func (p *Pipeline) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	x := &exchanger.Exchange{Writer: w, Request: r, ID: uuid.NewString()}
 
@@ -57,7 +60,7 @@
 	}
 
 	if !ok {
-		p.answer(x, p.closed(s))
+		p.respond(x, p.rejection(s))
 
 		return
 	}
@@ -71,10 +74,10 @@
 
 	err := p.serve(context.WithValue(c, tracerKey{}, p.tracer), x)
 	a.SetAttributes(attribute.String("request", x.ID), attribute.String("customer", x.Customer))
-	p.answer(x, err)
+	p.respond(x, err)
 }
 
-// Wait waits until the claims of all calls are settled, or the context ends.
+// Wait blocks until the outcomes of all claimed calls are recorded or the context ends.
 func (p *Pipeline) Wait(c context.Context) {
 	d := make(chan struct{})
 
@@ -89,27 +92,27 @@
 	}
 }
 
+// serve applies the filters to the call and records the outcome.
 func (p *Pipeline) serve(c context.Context, x *exchanger.Exchange) error {
-	// The first filters read the body and the deadline, so they run before it
-	// is known.
-	if err := run(c, x, p.filters[:2]); err != nil {
+	// The first two filters determine the deadline, so they run without one.
+	if err := runFilters(c, x, p.filters[:2]); err != nil {
 		return err
 	}
 
 	d, stop := context.WithDeadline(c, x.Deadline)
 	defer stop()
 
-	err := run(d, x, p.filters[2:])
-	Isolate{}.over(x)
+	err := runFilters(d, x, p.filters[2:])
+	Isolate{}.endTrial(x)
 	p.settle(x, err)
 
 	return err
 }
 
-// run applies filters in their order, each in a span.
-func run(c context.Context, x *exchanger.Exchange, l []exchanger.Filter) error {
+// runFilters applies the filters in order, each in a span of its own, until one fails.
+func runFilters(c context.Context, x *exchanger.Exchange, l []exchanger.Filter) error {
 	for _, f := range l {
-		if err := step(c, x, f); err != nil {
+		if err := runFilter(c, x, f); err != nil {
 			return err
 		}
 	}
@@ -117,7 +120,7 @@
 	return nil
 }
 
-func step(c context.Context, x *exchanger.Exchange, f exchanger.Filter) error {
+func runFilter(c context.Context, x *exchanger.Exchange, f exchanger.Filter) error {
 	c, end := span(c, f.Name())
 	err := f.Apply(c, x)
 	end(err)
@@ -125,7 +128,8 @@
 	return err
 }
 
-// span begins a span of the call's trace and returns what ends it.
+// span starts a span of the call's trace and returns the function that ends it. Without a
+// tracer in the context it does nothing.
 func span(c context.Context, name string) (context.Context, func(error)) {
 	t, ok := c.Value(tracerKey{}).(trace.Tracer)
 	if !ok {
@@ -143,30 +147,32 @@
 	}
 }
 
-func (p *Pipeline) closed(s drainer.Phase) error {
+// rejection returns the Refusal for a call that the drainer did not admit.
+func (p *Pipeline) rejection(s drainer.Phase) error {
 	if s == drainer.Serving {
-		return exchanger.Refuse(http.StatusServiceUnavailable, exchanger.CodeBusy, comeBack, "this router has too much to do")
+		return exchanger.Refuse(http.StatusServiceUnavailable, exchanger.CodeBusy, defaultRetryAfter, "this router is at its limit of concurrent calls")
 	}
 
 	return exchanger.Refuse(http.StatusServiceUnavailable, exchanger.CodeStopping, time.Second, "this router is stopping")
 }
 
-// answer writes what the call came to.
-func (p *Pipeline) answer(x *exchanger.Exchange, err error) {
+// respond writes the answer or the error of the call.
+func (p *Pipeline) respond(x *exchanger.Exchange, err error) {
 	var r *exchanger.Refusal
 
 	switch {
 	case err == nil || errors.Is(err, errAnswered):
 		p.counter.Add(counter.Served, 1)
-		p.whole(x)
+		p.writeAnswer(x)
 	case errors.As(err, &r):
-		p.refuse(x, r)
+		p.writeRefusal(x, r)
 	default:
-		p.refuse(x, exchanger.Fail(exchanger.CodeInternalError, "%v", err))
+		p.writeRefusal(x, exchanger.Fail(exchanger.CodeInternalError, "%v", err))
 	}
 }
 
-func (p *Pipeline) whole(x *exchanger.Exchange) {
+// writeAnswer writes a buffered answer. An answer that was streamed is written already.
+func (p *Pipeline) writeAnswer(x *exchanger.Exchange) {
 	if x.Relayed {
 		return
 	}
@@ -176,14 +182,14 @@
 		h[k] = v
 	}
 
-	describe(h, x)
+	setTargetHeaders(h, x)
 	h.Set("Content-Length", strconv.Itoa(len(x.Answer.Body)))
 	x.Writer.WriteHeader(x.Answer.Status)
 	_, _ = x.Writer.Write(x.Answer.Body)
 }
 
-// describe sets the fields that every answer from a target carries.
-func describe(h http.Header, x *exchanger.Exchange) {
+// setTargetHeaders sets the headers that the router adds to every answer of a target.
+func setTargetHeaders(h http.Header, x *exchanger.Exchange) {
 	h.Set(exchanger.HeaderOutcome, string(exchanger.Ran))
 
 	if x.Target != nil {
@@ -191,11 +197,11 @@
 	}
 
 	if x.Target != nil && x.Assistant {
-		h.Set(exchanger.HeaderPlace, token(x.Target.ID))
+		h.Set(exchanger.HeaderPlace, placementToken(x.Target.ID))
 	}
 }
 
-// refusalBody is the body of an answer that is no target's.
+// refusalBody is the JSON body of an error answer of the router itself.
 type refusalBody struct {
 	Error refusalError `json:"error"`
 }
@@ -207,16 +213,17 @@
 	RetryAfterMs int64             `json:"retryAfterMs,omitempty"`
 }
 
-func (p *Pipeline) refuse(x *exchanger.Exchange, r *exchanger.Refusal) {
-	p.note(x, r)
+// writeRefusal writes an error answer. If a part of a streamed answer was sent already, it
+// appends the error as an event and aborts the connection by a panic.
+func (p *Pipeline) writeRefusal(x *exchanger.Exchange, r *exchanger.Refusal) {
+	p.logRefusal(x, r)
 
-	b, _ := json.Marshal(refusalBody{refusalError{ //nolint:errchkjson // Plain fields.
+	b, _ := json.Marshal(refusalBody{refusalError{ //nolint:errchkjson // The fields are plain values.
 		Code: r.Code, Message: r.Message, Outcome: r.Outcome, RetryAfterMs: r.RetryAfter.Milliseconds(),
 	}})
 
-	// A part of the answer is with the caller already. The error goes out as an
-	// event and the connection is closed without the end that a whole answer
-	// has: taken for whole, a cut restock plan would be acted on.
+	// The connection is closed without the normal end of a stream. Otherwise a
+	// caller could take the truncated answer for complete and act on it.
 	if x.Relayed {
 		_, _ = x.Writer.Write([]byte("data: " + string(b) + "\n\n"))
 		_ = http.NewResponseController(x.Writer).Flush()
@@ -237,7 +244,8 @@
 	_, _ = x.Writer.Write(b)
 }
 
-func (p *Pipeline) note(x *exchanger.Exchange, r *exchanger.Refusal) {
+// logRefusal counts and logs a call that failed or was refused.
+func (p *Pipeline) logRefusal(x *exchanger.Exchange, r *exchanger.Refusal) {
 	l := logrus.WithFields(logrus.Fields{
 		"event": "callEnded", "request": x.ID, "customer": x.Customer,
 		"code": r.Code, "outcome": r.Outcome, "message": r.Message,
--- a/internal/filterer/relay.go
+++ b/internal/filterer/relay.go
@@ -17,28 +17,30 @@
 )
 
 const (
-	// maxAnswer bounds an answer that is held whole, in bytes.
-	maxAnswer = 32 << 20
-	// resumes is how often the rest of one streamed answer is asked for.
-	resumes     = 3
-	resumePause = 50 * time.Millisecond
+	// maxAnswerBytes is the largest answer that is buffered in memory.
+	maxAnswerBytes = 32 << 20
+	// maxResumes is how often one streamed answer is resumed at most.
+	maxResumes = 3
+	// resumeDelay is the wait before each resume.
+	resumeDelay = 50 * time.Millisecond
 )
 
-// Relay brings the answer to the caller, or into memory when it is not
-// streamed.
+// Relay forwards a streamed answer to the caller and buffers any other answer.
 type Relay struct {
 	Targets targets
 	Counter *counter.Counter
 }
 
-// Name returns the name of the step.
+// Name implements exchanger.Filter.
 func (Relay) Name() string { return "relay" }
 
-// Apply relays a stream or reads an answer whole.
+// Apply forwards or buffers the answer and closes its body. It fails with
+// sender.ErrStranger if the answer belongs to another request, with sender.ErrBroken if it
+// is incomplete, and with sender.ErrTooLong if it is too large to be buffered.
 func (r Relay) Apply(c context.Context, x *exchanger.Exchange) error {
 	defer func() { _ = x.Response.Body.Close() }()
 
-	// An answer that names another request is another caller's.
+	// An answer with the ID of another request belongs to another caller.
 	if v := x.Response.Header.Get(exchanger.TargetRequestID); v != "" && v != sender.RequestID(x) {
 		x.Result.TargetFailed = true
 
@@ -50,7 +52,7 @@
 	if x.Assistant && strings.HasPrefix(x.Response.Header.Get("Content-Type"), "text/event-stream") {
 		err = r.stream(c, x)
 	} else {
-		err = r.whole(x)
+		err = r.buffer(x)
 	}
 
 	if err == nil {
@@ -58,7 +60,8 @@
 	}
 
 	if c.Err() != nil {
-		// Nobody waits for the answer any more; the slot is freed for others.
+		// The caller no longer waits for the answer. A cancellation at the
+		// target frees its slot for other calls.
 		if x.Assistant {
 			r.Counter.Add(counter.Canceled, 1)
 
@@ -73,15 +76,15 @@
 	return err
 }
 
-// whole reads an answer that is not streamed. The caller gets its first byte
-// only once the last one is here, so that it never gets a part.
-func (r Relay) whole(x *exchanger.Exchange) error {
-	b, err := io.ReadAll(io.LimitReader(x.Response.Body, maxAnswer+1))
+// buffer reads an answer that is not streamed. Nothing of it is sent to the caller before
+// it is complete, so that the caller never gets a truncated answer.
+func (r Relay) buffer(x *exchanger.Exchange) error {
+	b, err := io.ReadAll(io.LimitReader(x.Response.Body, maxAnswerBytes+1))
 	if err != nil {
 		return errors.Mark(err, sender.ErrBroken)
 	}
 
-	if len(b) > maxAnswer {
+	if len(b) > maxAnswerBytes {
 		return sender.ErrTooLong
 	}
 
@@ -94,14 +97,14 @@
 			Usage sender.Usage `json:"usage"`
 		}
 		if json.Unmarshal(b, &u) == nil {
-			r.count(u.Usage.PromptTokens, u.Usage.Details.CachedTokens)
+			r.countTokens(u.Usage.PromptTokens, u.Usage.Details.CachedTokens)
 		}
 	}
 
 	return nil
 }
 
-// stream relays events as they come and resumes the stream where it breaks.
+// stream forwards events as they arrive and resumes the stream if it is interrupted.
 func (r Relay) stream(c context.Context, x *exchanger.Exchange) error {
 	s := &stream{relay: r, exchange: x, events: sender.NewEventReader(x.Response.Body)}
 
@@ -111,7 +114,7 @@
 			return nil
 		}
 
-		if c.Err() != nil || s.resumes >= resumes || errors.Is(err, errCaller) {
+		if c.Err() != nil || s.resumes >= maxResumes || errors.Is(err, errCallerWrite) {
 			return err
 		}
 
@@ -127,7 +130,8 @@
 	}
 }
 
-func (r Relay) count(prompt, cached int) {
+// countTokens counts the tokens of a prompt and how many of them the engine had cached.
+func (r Relay) countTokens(prompt, cached int) {
 	r.Counter.Add(counter.PromptTokens, int64(prompt))
 	r.Counter.Add(counter.CachedTokens, int64(cached))
 }
--- a/internal/filterer/relay_test.go
+++ b/internal/filterer/relay_test.go
@@ -20,20 +20,20 @@
 	"github.com/auburntray/auburntray/internal/sender"
 )
 
-// breaking is a target whose streams break. Each resume fails with the next of errs, and
-// then brings the rest.
-type breaking struct {
+// breakingTarget is a target whose streams are interrupted. The first resumes fail with the
+// errors of errs; later ones return the rest of the stream.
+type breakingTarget struct {
 	errs    []error
 	resumes int
 }
 
-func (*breaking) Send(context.Context, *exchanger.Exchange) (*http.Response, error) {
+func (*breakingTarget) Send(context.Context, *exchanger.Exchange) (*http.Response, error) {
 	return nil, sender.ErrNeverSent
 }
 
-func (*breaking) Cancel(*exchanger.Exchange) {}
+func (*breakingTarget) Cancel(*exchanger.Exchange) {}
 
-func (b *breaking) Resume(_ context.Context, _ *exchanger.Exchange, offset int) (*http.Response, error) {
+func (b *breakingTarget) Resume(_ context.Context, _ *exchanger.Exchange, offset int) (*http.Response, error) {
 	b.resumes++
 
 	if len(b.errs) > 0 {
@@ -46,7 +46,7 @@
 	return response(http.StatusOK, events(offset, 3)+"data: [DONE]\n\n", http.Header{}), nil
 }
 
-// events returns the events of the tokens from one offset to another.
+// events returns the events of the tokens from offset from up to, but not including, to.
 func events(from, to int) string {
 	var b strings.Builder
 
@@ -57,45 +57,45 @@
 	return b.String()
 }
 
-// An engine breaks a stream off, and is too busy to take the connection over which the
-// router wants the rest: the dial runs out of time. The caller saw its answer break off
-// for good, though the engine had the rest of it and took a connection a moment later.
+// Guards against streams that fail permanently because of one failed dial: an engine
+// interrupts a stream and is too busy to accept the connection for the resume, but accepts
+// one a moment later.
 func TestStreamIsResumedAfterADialThatFailed(t *testing.T) {
 	logrus.SetLevel(logrus.FatalLevel)
 
 	never, gone := sender.ErrNeverSent, sender.ErrBroken
 
 	for name, tc := range map[string]struct {
-		errs    []error
-		resumes int
-		counted int64
-		whole   bool
+		errs     []error
+		resumes  int
+		counted  int64
+		complete bool
 	}{
-		"resumed at once":                    {nil, 1, 1, true},
-		"no connection, then resumed":        {[]error{never}, 2, 1, true},
-		"no connection twice, then resumed":  {[]error{never, never}, 3, 1, true},
-		"no connection, as often as allowed": {[]error{never, never, never}, 3, 0, false},
-		"the engine does not have it":        {[]error{gone}, 1, 0, false},
-		"no connection, then not there":      {[]error{never, gone}, 2, 0, false},
+		"resumed at the first attempt":                   {nil, 1, 1, true},
+		"no connection, then resumed":                    {[]error{never}, 2, 1, true},
+		"no connection twice, then resumed":              {[]error{never, never}, 3, 1, true},
+		"no connection, maximum of resumes":              {[]error{never, never, never}, 3, 0, false},
+		"stream no longer available":                     {[]error{gone}, 1, 0, false},
+		"no connection, then stream no longer available": {[]error{never, gone}, 2, 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				i := is.New(t)
-				b, n, w := &breaking{errs: tc.errs}, counter.New(), httptest.NewRecorder()
+				b, n, w := &breakingTarget{errs: tc.errs}, counter.New(), httptest.NewRecorder()
 
 				x := &exchanger.Exchange{
 					Writer: w, Request: httptest.NewRequest(http.MethodPost, "/", nil), ID: "call", Attempt: 1, Assistant: true, Target: &matcher.Target{},
 					Response: &http.Response{
 						StatusCode: http.StatusOK, Header: http.Header{"Content-Type": {"text/event-stream"}},
-						Body: io.NopCloser(io.MultiReader(strings.NewReader(events(0, 1)), broken{})),
+						Body: io.NopCloser(io.MultiReader(strings.NewReader(events(0, 1)), brokenReader{})),
 					},
 				}
 
 				err := filterer.Relay{Targets: b, Counter: n}.Apply(t.Context(), x)
-				i.Equal(err == nil, tc.whole)
+				i.Equal(err == nil, tc.complete)
 				i.Equal(b.resumes, tc.resumes)
 				i.Equal(n.Get(counter.Resumed), tc.counted)
-				i.Equal(strings.HasSuffix(w.Body.String(), events(1, 3)+"data: [DONE]\n\n"), tc.whole)
+				i.Equal(strings.HasSuffix(w.Body.String(), events(1, 3)+"data: [DONE]\n\n"), tc.complete)
 			})
 		})
 	}
--- a/internal/filterer/send.go
+++ b/internal/filterer/send.go
@@ -12,8 +12,8 @@
 	"github.com/auburntray/auburntray/internal/sender"
 )
 
-// errPaused means that the claim is too old to be sent on.
-var errPaused = errors.New("too long after the claim")
+// errClaimExpired means that too much time has passed since the claim to send the call.
+var errClaimExpired = errors.New("the claim of the idempotency key has expired; the call was not sent")
 
 // targets sends calls to targets.
 type targets interface {
@@ -22,36 +22,38 @@
 	Cancel(x *exchanger.Exchange)
 }
 
-// pauses knows when this process stood still.
-type pauses interface {
+// stalls detects stalls of this process.
+type stalls interface {
 	Stalled(since time.Time) bool
 }
 
-// Send sends the call to its target.
+// Send sends the call to its target and records the target's load report.
 type Send struct {
 	Targets targets
-	Places  places
-	Pauses  pauses
+	Slots   slots
+	Stalls  stalls
 }
 
-// Name returns the name of the step.
+// Name implements exchanger.Filter.
 func (Send) Name() string { return "send" }
 
-// Apply sends the call and waits for the beginning of the answer.
+// Apply sends the call and waits for the header of the answer. It fails if the claim has
+// expired, no answer arrives, or the answer's status means that the target did not run
+// the call or failed.
 func (s Send) Apply(c context.Context, x *exchanger.Exchange) error {
 	b := time.Now()
 	if !sendable(x, b) {
-		return errPaused
+		return errClaimExpired
 	}
 
 	r, err := s.Targets.Send(c, x)
 	x.Result.Sent = !errors.Is(err, sender.ErrNeverSent)
 
 	if err != nil {
-		// A deadline or a caller that hung up is not the target's fault, and neither is
-		// a dial whose time ran out while this process stood still: three calls that
-		// met one pause would leave a target alone that is well.
-		p := !x.Result.Sent && detector.TimedOut(err) && s.Pauses.Stalled(b)
+		// The end of the deadline, a caller that disconnects, and a dial that timed
+		// out while this process was stalled do not count as failures of the target.
+		// Otherwise three calls during one stall would exclude a healthy target.
+		p := !x.Result.Sent && detector.TimedOut(err) && s.Stalls.Stalled(b)
 		x.Result.TargetFailed = c.Err() == nil && !p
 
 		if c.Err() != nil && x.Assistant {
@@ -63,16 +65,17 @@
 
 	x.Response = r
 	h := sender.Report(r.Header)
-	s.Places.Report(x.Place, h.Requests, h.State)
+	s.Slots.Report(x.Place, h.Requests, h.State)
 
 	if h.Rest > 0 && r.StatusCode == http.StatusServiceUnavailable {
-		s.Places.Rest(x.Place, h.Rest)
+		s.Slots.Rest(x.Place, h.Rest)
 	}
 
 	return s.status(x, r)
 }
 
-// status sorts out answers that are no answers to the call.
+// status returns an error if the answer says that the call was not run, or is a server
+// error of a call that may be retried. It closes the body in that case.
 func (s Send) status(x *exchanger.Exchange, r *http.Response) error {
 	switch {
 	case r.Header.Get(exchanger.TargetNotRun) == "true":
@@ -85,5 +88,5 @@
 
 	_ = r.Body.Close()
 
-	return errors.Newf("status %d", r.StatusCode)
+	return errors.Newf("the target answered with status %d", r.StatusCode)
 }
--- a/internal/filterer/stream.go
+++ b/internal/filterer/stream.go
@@ -12,24 +12,24 @@
 	"github.com/auburntray/auburntray/internal/sender"
 )
 
-// errCaller means that the caller could not be written to.
-var errCaller = errors.New("the caller can't be written to")
+// errCallerWrite marks failures to write to the caller.
+var errCallerWrite = errors.New("writing to the caller failed")
 
-// stream is one streamed answer on its way to the caller.
+// stream is the state of one streamed answer that is being forwarded.
 type stream struct {
 	relay    Relay
 	exchange *exchanger.Exchange
 	events   *sender.EventReader
-	// offset is how many tokens the caller has.
+	// offset is the number of tokens sent to the caller.
 	offset int
-	// resumes is how often the rest was asked for.
+	// resumes is the number of attempts to resume the stream.
 	resumes int
-	// tail holds the events after the last token. They go out only once the
-	// stream is whole: a resumed stream sends them again.
-	tail []byte
+	// pending holds the events other than tokens. They are sent at the end of the
+	// stream, because a resumed stream repeats them.
+	pending []byte
 }
 
-// copy relays events until the stream is whole.
+// copy forwards events until the stream is complete or fails.
 func (s *stream) copy() error {
 	for {
 		e, err := s.events.Next()
@@ -37,20 +37,19 @@
 			return err
 		}
 
-		// A late event of an earlier attempt, or of another caller's request,
-		// carries that one's id. Relayed, it would show as foreign words in the
-		// middle of an answer.
+		// A late event of an earlier attempt or of another caller's request carries
+		// the ID of that request. Forwarding it would insert text of another answer.
 		if e.ID != "" && e.ID != sender.RequestID(s.exchange) {
 			return sender.ErrStranger
 		}
 
 		if e.Prompt > 0 {
-			s.relay.count(e.Prompt, e.Cached)
+			s.relay.countTokens(e.Prompt, e.Cached)
 		}
 
 		switch {
 		case e.Done:
-			return s.write(append(s.tail, e.Raw...))
+			return s.write(append(s.pending, e.Raw...))
 		case e.Content:
 			if err := s.write(e.Raw); err != nil {
 				return err
@@ -58,50 +57,50 @@
 
 			s.offset++
 		default:
-			s.tail = append(s.tail, e.Raw...)
+			s.pending = append(s.pending, e.Raw...)
 		}
 	}
 }
 
-// write sends events to the caller, after the header for the first.
+// write sends events to the caller. It sends the header before the first event.
 func (s *stream) write(b []byte) error {
 	x := s.exchange
 	if !x.Relayed {
 		h := x.Writer.Header()
 		sender.CopyAnswer(h, x.Response.Header)
-		describe(h, x)
+		setTargetHeaders(h, x)
 		x.Writer.WriteHeader(http.StatusOK)
 
 		x.Relayed = true
 	}
 
 	if _, err := x.Writer.Write(b); err != nil {
-		return errors.Mark(err, errCaller)
+		return errors.Mark(err, errCallerWrite)
 	}
 
-	// What has arrived together goes out together; each flush is a system call.
+	// Events that arrive together are flushed together, as each flush is a system call.
 	if s.events.Buffered() {
 		return nil
 	}
 
 	if err := http.NewResponseController(x.Writer).Flush(); err != nil {
-		return errors.Mark(err, errCaller)
+		return errors.Mark(err, errCallerWrite)
 	}
 
 	return nil
 }
 
-// reconnect resumes the stream, also when the first connection for it is not made.
+// reconnect resumes the stream. It retries if no connection to the target is made.
 //
-// An engine that breaks streams off is often too busy to take a connection. The caller
-// would see its answer end for good at one dial that failed, though the engine has the
-// rest and takes the next: beside busy processes that was so for 3 of 2,133 streams.
+// An engine that interrupts streams is often too busy to accept a connection at once, but
+// accepts the next. Without the retry, 3 of 2,133 streams failed permanently next to busy
+// processes because of a single failed dial.
 func (s *stream) reconnect(c context.Context) error {
 	for {
 		s.resumes++
 
 		err := s.resume(c)
-		if !errors.Is(err, sender.ErrNeverSent) || s.resumes >= resumes {
+		if !errors.Is(err, sender.ErrNeverSent) || s.resumes >= maxResumes {
 			return err
 		}
 
@@ -111,9 +110,9 @@
 	}
 }
 
-// resume gets the rest of the stream from where the caller is.
+// resume requests the rest of the stream from the current offset on after resumeDelay.
 func (s *stream) resume(c context.Context) error {
-	t := time.NewTimer(resumePause)
+	t := time.NewTimer(resumeDelay)
 	defer t.Stop()
 
 	select {
@@ -133,7 +132,7 @@
 	context.AfterFunc(c, func() { _ = r.Body.Close() })
 
 	s.events = sender.NewEventReader(r.Body)
-	s.tail = nil
+	s.pending = nil
 
 	return nil
 }
--- a/internal/router/rest_test.go
+++ b/internal/router/backoff_test.go
@@ -13,49 +13,50 @@
 	"github.com/auburntray/auburntray/internal/standin/waiter"
 )
 
-// resters are services that turn each call away and ask for rest, and how many calls came to them.
-func (f *fleet) resters(n int, rest string) *atomic.Int64 {
-	var came atomic.Int64
+// addBackoffServices adds services that refuse each call and ask for a backoff in seconds. It
+// returns the counter of calls to them.
+func (f *fleet) addBackoffServices(n int, backoff string) *atomic.Int64 {
+	var calls atomic.Int64
 
 	for i := range n {
-		f.target("r"+strconv.Itoa(i), "service", f.serve(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		f.addTarget("r"+strconv.Itoa(i), "service", f.serve(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Path == "/health" {
 				return
 			}
 
-			came.Add(1)
+			calls.Add(1)
 			w.Header().Set(exchanger.TargetNotRun, "true")
-			w.Header().Set("Retry-After", rest)
+			w.Header().Set("Retry-After", backoff)
 			w.WriteHeader(http.StatusServiceUnavailable)
 		})))
 	}
 
-	return &came
+	return &calls
 }
 
-// Guards against targets that go on getting calls in the rest that they asked for, from whichever
-// router, and against callers who are told to come back before it is over.
+// Guards against calls from any router to targets during the backoff that they asked for, and
+// against a Retry-After for callers that is shorter than the backoff.
 func TestTargetsThatAskForRest(t *testing.T) {
 	for name, others := range map[string]int{"some": 2, "all": 0} {
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
 			f := newFleet(t, 0, others)
-			came := f.resters(2, "30")
+			calls := f.addBackoffServices(2, "30")
 			f.publish(1)
 			f.add("dc-1")
 			f.add("dc-1")
-			f.together()
+			f.awaitMembership()
 
 			k := 0
 			call := func() response {
 				k++
 
-				return f.nodes[k%2].do(t.Context(), http.MethodGet, "/page"+strconv.Itoa(k), "", "")
+				return f.instances[k%2].do(t.Context(), http.MethodGet, "/page"+strconv.Itoa(k), "", "")
 			}
 
-			waiter.Until(t, "the first rest", func() bool { call(); return came.Load() > 0 })
+			waiter.Until(t, "the first backoff", func() bool { call(); return calls.Load() > 0 })
 
-			// What one router heard is with the home of the cell a message later.
+			// The router notifies the home of the cell of the backoff by a message.
 			time.Sleep(50 * time.Millisecond)
 
 			for range 30 {
@@ -75,8 +76,8 @@
 				i.True(w >= 25)
 			}
 
-			// Each was called once.
-			i.True(came.Load() <= 2)
+			// Each of the two services was called at most once.
+			i.True(calls.Load() <= 2)
 		})
 	}
 }
--- a/internal/router/parts.go
+++ b/internal/router/components.go
@@ -23,10 +23,11 @@
 	"github.com/auburntray/auburntray/internal/tracer"
 )
 
-// checkpointKey is the key whose home writes the checkpoints.
+// checkpointKey is the key whose home, the one router responsible for it, writes the
+// checkpoints of the configuration log.
 const checkpointKey = "checkpoint"
 
-// onStop runs a constructor's clean-up function when the application stops.
+// onStop registers the clean-up function of a component to run when the application stops.
 func onStop(l fx.Lifecycle, f func()) {
 	l.Append(fx.Hook{OnStop: func(context.Context) error {
 		f()
@@ -35,7 +36,7 @@
 	}})
 }
 
-// Dialer makes the connections to peers and targets.
+// Dialer opens the connections to peers and targets.
 type Dialer interface {
 	DialContext(c context.Context, network, address string) (net.Conn, error)
 }
@@ -102,14 +103,15 @@
 	return g
 }
 
-// settleIn is how long after its start a router knows the others. Before, each of
-// many that start together would take itself for responsible.
-const settleIn = 10 * time.Second
+// membershipSettleTime is the time after its start within which a router learns of the
+// other routers. Before that, each of several routers that start together would consider
+// itself responsible for every key.
+const membershipSettleTime = 10 * time.Second
 
-// responsible says whether this router, which started at a time, is the home of
-// a key among all routers.
-func responsible(j *joiner.Joiner, key string, started time.Time) bool {
-	if time.Since(started) < settleIn {
+// isKeyHome reports whether this router is the home of a key among all routers. It is false
+// until membershipSettleTime has passed since the router started.
+func isKeyHome(j *joiner.Joiner, key string, started time.Time) bool {
+	if time.Since(started) < membershipSettleTime {
 		return false
 	}
 
@@ -118,7 +120,7 @@
 	return ok && h.ID == j.Self().ID
 }
 
-// aheadOf lets the follower know of peers with newer revisions.
-func aheadOf(f *follower.Follower) func(netip.AddrPort, uint64) {
+// aheadHandler returns a function that notifies the follower of a peer with a newer revision.
+func aheadHandler(f *follower.Follower) func(netip.AddrPort, uint64) {
 	return func(a netip.AddrPort, revision uint64) { f.Ahead(context.Background(), a, revision) }
 }
--- a/internal/router/export_test.go
+++ b/internal/router/export_test.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// Home says whether this router is the home of a cell.
-func (r *Router) Home(cell uint32) bool {
+// IsHome reports whether this router is the home of a cell.
+func (r *Router) IsHome(cell uint32) bool {
 	x := r.follower.Force().Matcher.Cell(cell)
 
-	return x != nil && r.mine(x)
+	return x != nil && r.isHome(x)
 }
 
-// Vanish makes the router deaf and silent to its peers, as a dead host is.
-func (r *Router) Vanish() {
+// Disconnect ends the router's exchange with its peers, as a crashed host would.
+func (r *Router) Disconnect() {
 	r.stop()
 	r.messenger.Close()
 }
 
-// Stalled says that the router believes that its process stood still since a time.
+// Stalled reports whether the router detected a stall of its process since the given time.
 func (r *Router) Stalled(since time.Time) bool { return r.stalls.Stalled(since) }
--- a/internal/router/fleet_test.go
+++ b/internal/router/fleet_test.go
@@ -28,21 +28,21 @@
 	"github.com/auburntray/auburntray/pkg/publisher"
 )
 
-// fleet is a few routers with their targets and the platform, in one process on
-// real sockets.
+// fleet is a set of routers with their targets and the platform, in one process and
+// connected by real sockets.
 type fleet struct {
-	t        *testing.T
-	platform *platform.Platform
-	address  netip.AddrPort
-	engines  []*engine.Engine
-	services []*service.Service
-	targets  map[string]any
-	nodes    []*node
-	network  *network
+	t         *testing.T
+	platform  *platform.Platform
+	address   netip.AddrPort
+	engines   []*engine.Engine
+	services  []*service.Service
+	targets   map[string]any
+	instances []*instance
+	network   *network
 }
 
-// node is one router.
-type node struct {
+// instance is one router of the fleet.
+type instance struct {
 	app     *fx.App
 	router  *router.Router
 	url     string
@@ -50,6 +50,8 @@
 	stopped bool
 }
 
+// newFleet returns a fleet with the given numbers of engines and services and no router. Its
+// targets are published as revision 1.
 func newFleet(t *testing.T, engines, services int) *fleet {
 	t.Helper()
 	logrus.SetLevel(logrus.FatalLevel)
@@ -68,13 +70,13 @@
 		t.Cleanup(stop)
 
 		f.engines = append(f.engines, e)
-		f.target(fmt.Sprintf("e%d", n), "engine", f.serve(e.Handler()))
+		f.addTarget(fmt.Sprintf("e%d", n), "engine", f.serve(e.Handler()))
 	}
 
 	for n := range services {
 		s := service.New(service.Settings{Name: fmt.Sprintf("s%d", n), Latency: 5 * time.Millisecond})
 		f.services = append(f.services, s)
-		f.target(fmt.Sprintf("s%d", n), "service", f.serve(s.Handler()))
+		f.addTarget(fmt.Sprintf("s%d", n), "service", f.serve(s.Handler()))
 	}
 
 	f.publish(0)
@@ -82,6 +84,7 @@
 	return f
 }
 
+// serve starts an HTTP server and returns its address.
 func (f *fleet) serve(h http.Handler) netip.AddrPort {
 	s := httptest.NewUnstartedServer(h)
 	s.Config.ErrorLog = nil
@@ -92,25 +95,27 @@
 	return netip.MustParseAddrPort(strings.TrimPrefix(s.URL, "http://"))
 }
 
-func (f *fleet) target(name, kind string, a netip.AddrPort) {
+// addTarget adds a target in dc-1 to the configuration that publish publishes.
+func (f *fleet) addTarget(name, kind string, a netip.AddrPort) {
 	f.targets[name] = map[string]any{
 		"address": a.String(), "kind": kind, "region": "r", "dataCentre": "dc-1", "capacity": 16,
 		"labels": map[string]string{"app": kind},
 	}
-	f.network.place(a, "dc-1")
+	f.network.setDataCentre(a, "dc-1")
 }
 
-// move puts a target into another data centre.
-func (f *fleet) move(name, centre string) {
+// moveTarget moves a target to another data centre.
+func (f *fleet) moveTarget(name, centre string) {
 	f.t.Helper()
 
 	x, _ := f.targets[name].(map[string]any)
 	x["dataCentre"] = centre
 	a, _ := x["address"].(string)
-	f.network.place(netip.MustParseAddrPort(a), centre)
+	f.network.setDataCentre(netip.MustParseAddrPort(a), centre)
 }
 
-// publish publishes the fleet's targets on a base and returns the revision.
+// publish publishes the fleet's targets as a change of the base revision and returns the new
+// revision.
 func (f *fleet) publish(base uint64) uint64 {
 	f.t.Helper()
 
@@ -137,8 +142,8 @@
 	return r.Revision
 }
 
-// add starts a router in a data centre and waits until it serves.
-func (f *fleet) add(centre string) *node {
+// add starts a router in a data centre and waits until it has a configuration.
+func (f *fleet) add(centre string) *instance {
 	f.t.Helper()
 
 	n := f.start(centre)
@@ -147,14 +152,15 @@
 	return n
 }
 
-func (f *fleet) start(centre string) *node {
+// start starts a router in a data centre.
+func (f *fleet) start(centre string) *instance {
 	f.t.Helper()
 
 	return f.startWith(centre, func(*resolver.Router) {})
 }
 
 // startWith starts a router with changed settings.
-func (f *fleet) startWith(centre string, change func(*resolver.Router)) *node {
+func (f *fleet) startWith(centre string, change func(*resolver.Router)) *instance {
 	f.t.Helper()
 
 	s := resolver.Router{}
@@ -168,13 +174,13 @@
 	s.DrainNotice = 100 * time.Millisecond
 	s.AskTimeout = time.Second
 
-	for _, o := range f.nodes {
+	for _, o := range f.instances {
 		s.Seeds = append(s.Seeds, o.peer)
 	}
 
 	change(&s)
 
-	n := &node{}
+	n := &instance{}
 
 	var m router.Peer
 
@@ -183,22 +189,23 @@
 		f.t.Fatal(err)
 	}
 
-	// It is dialled as soon as it starts, so its place is noted before.
+	// Other routers dial it as soon as it starts, so its data centre is set before.
 	n.peer = netip.AddrPort(m)
-	f.network.place(n.peer, centre)
+	f.network.setDataCentre(n.peer, centre)
 
 	if err := n.app.Start(f.t.Context()); err != nil {
 		f.t.Fatal(err)
 	}
 
 	n.url = "http://" + n.router.Address().String()
-	f.nodes = append(f.nodes, n)
+	f.instances = append(f.instances, n)
 	f.t.Cleanup(func() { f.stop(n) })
 
 	return n
 }
 
-func (f *fleet) stop(n *node) {
+// stop stops a router as planned, unless it is stopped already.
+func (f *fleet) stop(n *instance) {
 	if n.stopped {
 		return
 	}
@@ -213,12 +220,12 @@
 	}
 }
 
-// together waits until the routers know each other.
-func (f *fleet) together() {
+// awaitMembership waits until all routers know each other.
+func (f *fleet) awaitMembership() {
 	f.t.Helper()
-	waiter.Until(f.t, "the acquaintance of all routers", func() bool {
-		for _, n := range f.nodes {
-			if n.metric(counter.Routers) != int64(len(f.nodes)) {
+	waiter.Until(f.t, "the membership of all routers", func() bool {
+		for _, n := range f.instances {
+			if n.metric(counter.Routers) != int64(len(f.instances)) {
 				return false
 			}
 		}
@@ -227,16 +234,16 @@
 	})
 }
 
-// dead returns an address where nothing listens.
-func (f *fleet) dead() netip.AddrPort {
+// unusedAddress returns an address at which no server listens.
+func (f *fleet) unusedAddress() netip.AddrPort {
 	s := httptest.NewServer(nil)
 	s.Close()
 
 	return netip.MustParseAddrPort(strings.TrimPrefix(s.URL, "http://"))
 }
 
-// list tells the platform's list of a target.
-func (f *fleet) list(i recorder.Instance) {
+// registerInstance registers an instance in the platform's list.
+func (f *fleet) registerInstance(i recorder.Instance) {
 	f.t.Helper()
 
 	r, stop := recorder.New(f.address, "dc-1")
@@ -247,10 +254,10 @@
 	}
 }
 
-func (n *node) metric(x counter.Name) int64 { return n.router.Counter().Get(x) }
+func (n *instance) metric(x counter.Name) int64 { return n.router.Counter().Get(x) }
 
-// response is an answer as its caller sees it. Err is set when the connection
-// ended before the answer.
+// response is an answer as received by its caller. The field err is set if the connection
+// was lost before the end of the answer.
 type response struct {
 	status int
 	header http.Header
@@ -260,7 +267,8 @@
 
 func (r response) outcome() string { return r.header.Get(exchanger.HeaderOutcome) }
 
-func (n *node) do(c context.Context, method, path, key, body string) response {
+// do sends a call of customer c. Without a key, it sends no idempotency key.
+func (n *instance) do(c context.Context, method, path, key, body string) response {
 	q, err := http.NewRequestWithContext(c, method, n.url+path, bytes.NewReader([]byte(body)))
 	if err != nil {
 		return response{err: err}
@@ -284,8 +292,8 @@
 	return response{status: r.StatusCode, header: r.Header, body: string(b), err: err}
 }
 
-// chat sends a chat completion and returns the answer's text.
-func (n *node) chat(c context.Context, question string, tokens int, stream bool) response {
+// chat sends a chat completion and returns the answer.
+func (n *instance) chat(c context.Context, question string, tokens int, stream bool) response {
 	b, err := json.Marshal(map[string]any{
 		"model": "m", "stream": stream, "max_tokens": tokens,
 		"messages": []map[string]string{{"role": "user", "content": question}},
@@ -297,8 +305,8 @@
 	return n.do(c, http.MethodPost, "/v1/chat/completions", "", string(b))
 }
 
-// text joins the parts of a streamed answer, and says whether it has an end.
-func text(events string) (string, bool) {
+// streamedText returns the text of a streamed answer and whether its end was received.
+func streamedText(events string) (string, bool) {
 	var b strings.Builder
 
 	for _, l := range strings.Split(events, "\n") {
@@ -325,6 +333,7 @@
 	return b.String(), false
 }
 
-func want(question string, tokens int) string {
+// wantAnswer returns the complete answer of an engine to a question.
+func wantAnswer(question string, tokens int) string {
 	return strings.Join(engine.Answer(question, tokens), "")
 }
--- a/internal/router/network_test.go
+++ b/internal/router/network_test.go
@@ -12,17 +12,18 @@
 	"github.com/matryer/is"
 )
 
-// network makes the fleet's connections and can cut a data centre off from the
-// others.
+// network opens the connections of the fleet and can partition a data centre from the
+// others. It is safe for concurrent use.
 type network struct {
 	mu      sync.Mutex
 	centres map[netip.AddrPort]string
-	cut     string
-	made    []made
+	// isolated is the partitioned data centre, or empty.
+	isolated    string
+	connections []connection
 }
 
-// made is a connection that was made, with its two ends.
-type made struct {
+// connection is an open connection with its two ends.
+type connection struct {
 	conn net.Conn
 	from string
 	to   netip.AddrPort
@@ -32,23 +33,23 @@
 	return &network{centres: make(map[netip.AddrPort]string)}
 }
 
-// place says in which data centre an address is.
-func (n *network) place(a netip.AddrPort, centre string) {
+// setDataCentre sets the data centre of an address.
+func (n *network) setDataCentre(a netip.AddrPort, centre string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 
 	n.centres[a] = centre
 }
 
-// isolate cuts a data centre off, and ends the connections that cross the cut;
-// no name heals it.
+// isolate partitions a data centre from the others and closes the connections across the
+// partition. An empty name ends the partition.
 func (n *network) isolate(centre string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 
-	n.cut = centre
-	n.made = slices.DeleteFunc(n.made, func(x made) bool {
-		b := n.beyond(x.from, x.to)
+	n.isolated = centre
+	n.connections = slices.DeleteFunc(n.connections, func(x connection) bool {
+		b := n.blocked(x.from, x.to)
 		if b {
 			_ = x.conn.Close()
 		}
@@ -57,26 +58,26 @@
 	})
 }
 
-// beyond says that an address is on the other side of the cut. It goes by the places
-// as they are known now and not when a connection was made: a router is dialled as
-// soon as it listens, and on a busy machine that is before its place is noted. Such a
-// connection outlived the cut, and the two sides went on sharing one home.
-func (n *network) beyond(from string, a netip.AddrPort) bool {
+// blocked reports whether an address is on the other side of the partition. It uses the
+// current data centre of the address, not the one at the time of the dial: on a busy machine
+// a router is dialled before its data centre is set. Such a connection would outlast the
+// partition, and both sides would continue to share one home.
+func (n *network) blocked(from string, a netip.AddrPort) bool {
 	to, ok := n.centres[a]
 
-	return ok && n.cut != "" && to != from && (to == n.cut || from == n.cut)
+	return ok && n.isolated != "" && to != from && (to == n.isolated || from == n.isolated)
 }
 
-// from returns what connects from a data centre.
+// from returns a dialer for a router in a data centre.
 func (n *network) from(centre string) *link { return &link{network: n, centre: centre} }
 
-// link is the network as one router sees it.
+// link is the dialer of one router. It implements router.Dialer.
 type link struct {
 	network *network
 	centre  string
 }
 
-// DialContext connects, but not across the cut.
+// DialContext opens a connection. It fails if the address is across the partition.
 func (l *link) DialContext(c context.Context, network, address string) (net.Conn, error) {
 	n := l.network
 
@@ -84,38 +85,37 @@
 	defer n.mu.Unlock()
 
 	a := netip.MustParseAddrPort(address)
-	if n.beyond(l.centre, a) {
+	if n.blocked(l.centre, a) {
 		return nil, &net.OpError{Op: "dial", Net: network, Err: syscall.EHOSTUNREACH}
 	}
 
 	x, err := (&net.Dialer{}).DialContext(c, network, address)
 	if err == nil {
-		n.made = append(n.made, made{conn: x, from: l.centre, to: a})
+		n.connections = append(n.connections, connection{conn: x, from: l.centre, to: a})
 	}
 
 	return x, err
 }
 
-// A router dials another that has just begun to listen, and only then is the other's
-// data centre noted. A cut between the two must end that connection as well: a router
-// that keeps it asks the home beyond the cut, and what it then fails to reach is held
-// against the targets there, by the one home that both sides share.
-func TestACutEndsWhatCrossesIt(t *testing.T) {
+// Guards against connections that outlast a partition because the data centre of the dialled
+// router was set only after the dial. Otherwise both sides would share one home, which would
+// mark targets that the other side cannot reach as unhealthy.
+func TestCutClosesConnectionsAcrossIt(t *testing.T) {
 	for name, tc := range map[string]struct {
 		from, to string
-		// late says that the place is noted after the dial.
-		late  bool
-		ended bool
+		// late means that the data centre is set after the dial.
+		late   bool
+		closed bool
 	}{
-		"out of the cut":                    {from: "dc-2", to: "dc-1", ended: true},
-		"into the cut":                      {from: "dc-1", to: "dc-2", ended: true},
-		"into the cut, place noted late":    {from: "dc-1", to: "dc-2", late: true, ended: true},
-		"out of the cut, place noted late":  {from: "dc-2", to: "dc-1", late: true, ended: true},
-		"inside the cut":                    {from: "dc-2", to: "dc-2"},
-		"inside the cut, place noted late":  {from: "dc-2", to: "dc-2", late: true},
-		"outside the cut":                   {from: "dc-1", to: "dc-1"},
-		"outside the cut, another centre":   {from: "dc-1", to: "dc-3"},
-		"outside the cut, place noted late": {from: "dc-1", to: "dc-3", late: true},
+		"out of the partition":                        {from: "dc-2", to: "dc-1", closed: true},
+		"into the partition":                          {from: "dc-1", to: "dc-2", closed: true},
+		"into the partition, data centre set late":    {from: "dc-1", to: "dc-2", late: true, closed: true},
+		"out of the partition, data centre set late":  {from: "dc-2", to: "dc-1", late: true, closed: true},
+		"inside the partition":                        {from: "dc-2", to: "dc-2"},
+		"inside the partition, data centre set late":  {from: "dc-2", to: "dc-2", late: true},
+		"outside the partition":                       {from: "dc-1", to: "dc-1"},
+		"outside the partition, another data centre":  {from: "dc-1", to: "dc-3"},
+		"outside the partition, data centre set late": {from: "dc-1", to: "dc-3", late: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
@@ -127,21 +127,21 @@
 			a := netip.MustParseAddrPort(l.Addr().String())
 
 			if !tc.late {
-				n.place(a, tc.to)
+				n.setDataCentre(a, tc.to)
 			}
 
 			c, err := n.from(tc.from).DialContext(t.Context(), "tcp", a.String())
 			i.NoErr(err)
 			t.Cleanup(func() { _ = c.Close() })
 
-			n.place(a, tc.to)
+			n.setDataCentre(a, tc.to)
 			n.isolate("dc-2")
 
 			_, err = c.Write([]byte("x"))
-			i.Equal(err != nil, tc.ended)
+			i.Equal(err != nil, tc.closed)
 
 			d, err := n.from(tc.from).DialContext(t.Context(), "tcp", a.String())
-			i.Equal(err != nil, tc.ended)
+			i.Equal(err != nil, tc.closed)
 
 			if err == nil {
 				_ = d.Close()
--- a/internal/router/teller.go
+++ b/internal/router/notifier.go
@@ -15,22 +15,24 @@
 	"github.com/auburntray/auburntray/internal/wire"
 )
 
-// teller sends cells' loads to the homes of their pools' other cells.
-type teller struct {
-	messenger *messenger.Messenger
-	joiner    func() *joiner.Joiner
-	keeper    func() *keeper.Keeper
+// notifier sends messages about cells of this router to the homes of cells, that is, to the
+// routers responsible for them. It is safe for concurrent use.
+type notifier struct {
+	messenger  *messenger.Messenger
+	joiner     func() *joiner.Joiner
+	supervisor func() *keeper.Keeper
 }
 
-// Tell sends one load in the background. A lost one is made good by the next.
-func (t teller) Tell(to *matcher.Cell, w wire.CellLoad) {
+// Tell sends a cell's load to the home of another cell of its pool in the background. Lost
+// messages are not repeated, as the next load replaces them.
+func (t notifier) Tell(to *matcher.Cell, w wire.CellLoad) {
 	h, ok := t.joiner().Home(uint64(to.ID), to.DataCentres)
 	if !ok {
 		return
 	}
 
 	if h.ID == t.joiner().Self().ID {
-		t.keeper().Other(time.Now(), w)
+		t.supervisor().Other(time.Now(), w)
 
 		return
 	}
@@ -38,22 +40,24 @@
 	go t.send(h, wire.KindCellLoad, &w)
 }
 
-// HandOver sends places in the background to the cell's home.
-func (t teller) HandOver(cell *matcher.Cell, w wire.HandOver) {
+// HandOver sends placements to the cell's home in the background, unless this router is the
+// home.
+func (t notifier) HandOver(cell *matcher.Cell, w wire.HandOver) {
 	h, ok := t.joiner().Home(uint64(cell.ID), cell.DataCentres)
 	if ok && h.ID != t.joiner().Self().ID {
 		go t.send(h, wire.KindHandOver, &w)
 	}
 }
 
-// Replicate sends places in the background to the cell's next home.
-func (t teller) Replicate(cell *matcher.Cell, w wire.HandOver) {
+// Replicate sends placements in the background to the router that becomes the cell's home
+// if this one fails.
+func (t notifier) Replicate(cell *matcher.Cell, w wire.HandOver) {
 	if h, ok := t.joiner().Successor(uint64(cell.ID), cell.DataCentres); ok {
 		go t.send(h, wire.KindHandOver, &w)
 	}
 }
 
-func (t teller) send(to gossiper.Member, k wire.Kind, m msgp.Marshaler) {
+func (t notifier) send(to gossiper.Member, k wire.Kind, m msgp.Marshaler) {
 	c, stop := context.WithTimeout(context.Background(), sendTimeout)
 	defer stop()
 
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -1,4 +1,4 @@
-// Package router puts the parts of an entry instance together and runs them.
+// Package router assembles the components of a router instance and runs them.
 package router
 
 import (
@@ -35,24 +35,24 @@
 	"github.com/auburntray/auburntray/internal/warner"
 )
 
-// ErrStart means that the router could not start.
+// ErrStart marks errors of components that fail to start.
 var ErrStart = errors.New("the router can't start")
 
-// Router is one entry instance. It is safe for concurrent use.
+// Router is one router instance. It is safe for concurrent use.
 type Router struct {
-	settings  resolver.Router
-	follower  *follower.Follower
-	joiner    *joiner.Joiner
-	keeper    *keeper.Keeper
-	asker     *asker.Asker
-	orderer   *orderer.Orderer
-	messenger *messenger.Messenger
-	recorder  *recorder.Recorder
-	pipeline  *filterer.Pipeline
-	warner    *warner.Warner
-	drainer   *drainer.Drainer
-	counter   *counter.Counter
-	stalls    *stalls
+	settings   resolver.Router
+	follower   *follower.Follower
+	joiner     *joiner.Joiner
+	supervisor *keeper.Keeper
+	requester  *asker.Asker
+	reconciler *orderer.Orderer
+	messenger  *messenger.Messenger
+	recorder   *recorder.Recorder
+	pipeline   *filterer.Pipeline
+	replicator *warner.Warner
+	drainer    *drainer.Drainer
+	counter    *counter.Counter
+	stalls     *stallMonitor
 
 	server   *http.Server
 	listener net.Listener
@@ -60,9 +60,8 @@
 	stop     context.CancelFunc
 }
 
-// Options returns the fx options of a router with the given settings. The
-// application starts serving when it starts, and stops as planned when it
-// stops: no request in progress is cut.
+// Options returns the fx options of a router with the given settings. Stopping the
+// application drains the router: requests in progress are completed first.
 func Options(s resolver.Router) fx.Option {
 	return fx.Options(
 		fx.Supply(s),
@@ -71,18 +70,18 @@
 			newID,
 			newPeer,
 			newDialer,
-			newStalls,
+			newStallMonitor,
 			newSelf,
 			newTracer,
 			newMessenger,
 			newRecorder,
 			newSender,
-			newParts,
-			newWarner,
+			newComponents,
+			newReplicator,
 			newPipeline,
 			newRouter,
 		),
-		fx.WithLogger(func() fxevent.Logger { return quiet{} }),
+		fx.WithLogger(func() fxevent.Logger { return discardLogger{} }),
 		fx.StopTimeout(s.MaxDeadline+s.DrainNotice+time.Minute),
 		fx.Invoke(func(l fx.Lifecycle, r *Router) {
 			l.Append(fx.Hook{OnStart: r.Start, OnStop: r.Stop})
@@ -90,71 +89,73 @@
 	)
 }
 
-// quiet drops the events of the container; failures come back as errors.
-type quiet struct{}
+// discardLogger discards the events of the fx container, whose failures are returned as
+// errors.
+type discardLogger struct{}
 
-// LogEvent is part of fxevent.Logger.
-func (quiet) LogEvent(fxevent.Event) {}
+// LogEvent implements fxevent.Logger.
+func (discardLogger) LogEvent(fxevent.Event) {}
 
-// processID names this process among all routers' processes.
+// processID identifies this process among the processes of all routers.
 type processID uint64
 
 func newID() processID {
 	return processID(joiner.NewID(0))
 }
 
-// Peer is the address on which this router is reached by others.
+// Peer is the address at which other routers reach this router.
 type Peer netip.AddrPort
 
 func newPeer(m *messenger.Messenger) Peer {
 	return Peer(m.Address())
 }
 
-// newSelf returns this router as the others will know it.
+// newSelf returns the gossip member that describes this router.
 func newSelf(s resolver.Router, id processID, m *messenger.Messenger) gossiper.Member {
 	return gossiper.Member{ID: uint64(id), Address: m.Address(), Region: s.Region, DataCentre: s.DataCentre}
 }
 
-// parts are the services that depend on each other in a circle: the follower
-// tells the keeper of changes, the joiner tells the follower of peers.
-type parts struct {
+// components groups the components that depend on each other in a cycle, such as the
+// follower, which notifies the supervisor of changes, and the joiner, which notifies the
+// follower of peers.
+type components struct {
 	fx.Out
 
-	Follower  *follower.Follower
-	Joiner    *joiner.Joiner
-	Keeper    *keeper.Keeper
-	Asker     *asker.Asker
-	Registrar *registrar.Registrar
-	Orderer   *orderer.Orderer
-	Drainer   *drainer.Drainer
+	Follower   *follower.Follower
+	Joiner     *joiner.Joiner
+	Supervisor *keeper.Keeper
+	Requester  *asker.Asker
+	Registrar  *registrar.Registrar
+	Reconciler *orderer.Orderer
+	Drainer    *drainer.Drainer
 }
 
-func newParts(s resolver.Router, self gossiper.Member, m *messenger.Messenger, r *recorder.Recorder,
-	t *sender.Sender, n *counter.Counter, p *stalls,
-) parts {
-	var o parts
+func newComponents(s resolver.Router, self gossiper.Member, m *messenger.Messenger, r *recorder.Recorder,
+	t *sender.Sender, n *counter.Counter, p *stallMonitor,
+) components {
+	var o components
 
 	b := time.Now()
-	o.Keeper = keeper.New(granterSettings(s), self.ID, func() *follower.Force { return o.Follower.Force() }, t,
-		teller{messenger: m, joiner: func() *joiner.Joiner { return o.Joiner }, keeper: func() *keeper.Keeper { return o.Keeper }}, p)
-	o.Follower = follower.New(r, m, func(f *follower.Force) { changed(&o, f) }, func() bool { return responsible(o.Joiner, checkpointKey, b) }, s.CheckpointEvery)
+	o.Supervisor = keeper.New(granterSettings(s), self.ID, func() *follower.Force { return o.Follower.Force() }, t,
+		notifier{messenger: m, joiner: func() *joiner.Joiner { return o.Joiner }, supervisor: func() *keeper.Keeper { return o.Supervisor }}, p)
+	o.Follower = follower.New(r, m, func(f *follower.Force) { applyConfig(&o, f) }, func() bool { return isKeyHome(o.Joiner, checkpointKey, b) }, s.CheckpointEvery)
 
-	g := gossiper.New(gossiper.DefaultSettings(), mathrand.New(mathrand.NewPCG(self.ID, 0)), self) //nolint:gosec // Spreads messages.
+	g := gossiper.New(gossiper.DefaultSettings(), mathrand.New(mathrand.NewPCG(self.ID, 0)), self) //nolint:gosec // Not used for secrets.
 	o.Joiner = joiner.New(m, r, g, self, s.Seeds, joiner.Hooks{
 		Revision: func() uint64 { return o.Follower.Revision() },
-		Ahead:    aheadOf(o.Follower),
-		Seen:     o.Keeper.Seen,
+		Ahead:    aheadHandler(o.Follower),
+		Seen:     o.Supervisor.Seen,
 	})
-	o.Asker = asker.New(m, o.Joiner, o.Keeper, n, p, s.AskTimeout)
+	o.Requester = asker.New(m, o.Joiner, o.Supervisor, n, p, s.AskTimeout)
 	o.Registrar = registrar.New(r, m, o.Joiner, p, s.ClaimWindow)
-	o.Orderer = orderer.New(r, t, n, self.ID)
+	o.Reconciler = orderer.New(r, t, n, self.ID)
 	o.Drainer = drainer.New(s.DrainNotice, s.MaxInFlight)
 
 	return o
 }
 
-// changed brings a configuration to the parts that hold something of it.
-func changed(p *parts, f *follower.Force) {
+// applyConfig updates the components that depend on the configuration.
+func applyConfig(p *components, f *follower.Force) {
 	var k []gossiper.Key
 
 	for _, c := range f.Matcher.Cells() {
@@ -162,67 +163,68 @@
 	}
 
 	p.Joiner.SetKeys(k)
-	p.Keeper.Update(f)
+	p.Supervisor.Update(f)
 }
 
-// newWarner returns what remembers under which calls targets have ended. Nothing of it outlasts
-// all routers: a call that was held back ends three targets more after that.
-func newWarner(m *messenger.Messenger, j *joiner.Joiner) *warner.Warner {
+// newReplicator returns the component that shares quarantined calls between the routers. They
+// are not stored, so after a restart of all routers a quarantined call crashes three more
+// targets before it is quarantined again.
+func newReplicator(m *messenger.Messenger, j *joiner.Joiner) *warner.Warner {
 	return warner.New(m, j, nil, quarantiner.DefaultSettings())
 }
 
 func newPipeline(s resolver.Router, t trace.Tracer, d *drainer.Drainer, f *follower.Follower, a *asker.Asker,
-	g *registrar.Registrar, x *sender.Sender, n *counter.Counter, p *stalls, q *warner.Warner,
+	g *registrar.Registrar, x *sender.Sender, n *counter.Counter, p *stallMonitor, q *warner.Warner,
 ) *filterer.Pipeline {
 	i := filterer.Isolate{Quarantine: q, Targets: x}
 
 	return filterer.New(d, g, n, t,
 		filterer.Accept{MaxBody: int64(s.MaxBody)},
 		filterer.Identify{Deadline: s.Deadline, MaxDeadline: s.MaxDeadline},
-		filterer.Match{Force: f.Force},
+		filterer.Match{Config: f.Force},
 		i,
 		filterer.Claim{Claims: g, Counter: n},
 		filterer.NewAttempt(a, n, i,
-			filterer.Pick{Places: a, Region: s.Region, Counter: n},
-			filterer.Send{Targets: x, Places: a, Pauses: p},
+			filterer.Pick{Slots: a, Region: s.Region, Counter: n},
+			filterer.Send{Targets: x, Slots: a, Stalls: p},
 			filterer.Relay{Targets: x, Counter: n},
 		),
 	)
 }
 
-// routerIn are the parts that a Router runs.
-type routerIn struct {
+// routerParams are the components that a Router runs.
+type routerParams struct {
 	fx.In
 
-	Settings  resolver.Router
-	Follower  *follower.Follower
-	Joiner    *joiner.Joiner
-	Keeper    *keeper.Keeper
-	Asker     *asker.Asker
-	Registrar *registrar.Registrar
-	Orderer   *orderer.Orderer
-	Messenger *messenger.Messenger
-	Recorder  *recorder.Recorder
-	Pipeline  *filterer.Pipeline
-	Warner    *warner.Warner
-	Drainer   *drainer.Drainer
-	Counter   *counter.Counter
-	Stalls    *stalls
+	Settings   resolver.Router
+	Follower   *follower.Follower
+	Joiner     *joiner.Joiner
+	Supervisor *keeper.Keeper
+	Requester  *asker.Asker
+	Registrar  *registrar.Registrar
+	Reconciler *orderer.Orderer
+	Messenger  *messenger.Messenger
+	Recorder   *recorder.Recorder
+	Pipeline   *filterer.Pipeline
+	Replicator *warner.Warner
+	Drainer    *drainer.Drainer
+	Counter    *counter.Counter
+	Stalls     *stallMonitor
 }
 
-func newRouter(i routerIn) (*Router, error) {
-	l, err := net.Listen("tcp", i.Settings.Listen.String()) //nolint:noctx // Closed by Stop.
+func newRouter(i routerParams) (*Router, error) {
+	l, err := net.Listen("tcp", i.Settings.Listen.String()) //nolint:noctx // Stop closes it.
 	if err != nil {
 		return nil, errors.Mark(errors.Wrap(err, "listening for callers"), ErrStart)
 	}
 
 	r := &Router{
-		settings: i.Settings, follower: i.Follower, joiner: i.Joiner, keeper: i.Keeper, asker: i.Asker,
-		orderer: i.Orderer, messenger: i.Messenger, recorder: i.Recorder, pipeline: i.Pipeline, warner: i.Warner, drainer: i.Drainer,
+		settings: i.Settings, follower: i.Follower, joiner: i.Joiner, supervisor: i.Supervisor, requester: i.Requester,
+		reconciler: i.Reconciler, messenger: i.Messenger, recorder: i.Recorder, pipeline: i.Pipeline, replicator: i.Replicator, drainer: i.Drainer,
 		counter: i.Counter, stalls: i.Stalls, listener: l,
 	}
-	r.register(i.Registrar)
-	r.follow()
+	r.registerHandlers(i.Registrar)
+	r.registerGauges()
 
 	r.server = &http.Server{
 		Handler:           r.handler(),
@@ -234,9 +236,11 @@
 	return r, nil
 }
 
+// headerTimeout limits the time in which a client must send the header of a request.
 const headerTimeout = 10 * time.Second
 
-// handler returns the callers' side: the health paths and the pipeline.
+// handler returns the handler for callers: the health endpoints and, for all other paths,
+// the pipeline.
 func (r *Router) handler() http.Handler {
 	gin.SetMode(gin.ReleaseMode)
 
@@ -249,14 +253,14 @@
 	return g
 }
 
-// answerPanic answers a call whose handling panicked: whether it ran is not known.
+// answerPanic answers a call whose handler panicked. Its outcome is unknown.
 func answerPanic(c *gin.Context) {
 	c.AbortWithStatusJSON(http.StatusInternalServerError,
 		gin.H{"error": gin.H{"code": "internal", "outcome": "unknown"}})
 }
 
-// ready says whether the balancer should send calls: a configuration is in
-// force and no stop has begun.
+// ready answers the load balancer's readiness check. The router is ready when it has a
+// configuration and is not stopping.
 func (r *Router) ready(c *gin.Context) {
 	if r.follower.Revision() == 0 || !r.drainer.Ready() {
 		c.Status(http.StatusServiceUnavailable)
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -27,12 +27,12 @@
 	"github.com/auburntray/auburntray/internal/standin/waiter"
 )
 
-// Engines break connections in the middle of answers. Many callers stream at
-// once through all routers; each must get its own answer, whole, with no word
-// of another's and none twice where the stream was resumed.
+// Guards against mixed-up, truncated or duplicated text in resumed streams: engines break
+// connections in the middle of answers while 45 callers stream concurrently through three
+// routers.
 //
-// All calls are one customer's, who has 0.85 of the places. Four engines have 54 for it,
-// so that none of the 45 is held back however slowly the others end.
+// All calls are of one customer, whose share is 0.85 of the slots. That is 54 slots of four
+// engines, so that none of the 45 calls is refused, however long the others run.
 func TestEveryCallerGetsItsOwnWholeAnswer(t *testing.T) {
 	i := is.New(t)
 	f := newFleet(t, 4, 0)
@@ -41,7 +41,7 @@
 		f.add("dc-1")
 	}
 
-	f.together()
+	f.awaitMembership()
 
 	for _, e := range f.engines {
 		e.SetFaults(engine.Faults{BreakAfter: 7})
@@ -52,11 +52,11 @@
 	for n := range 45 {
 		g.Go(func() {
 			q := "question " + strconv.Itoa(n)
-			r := f.nodes[n%3].chat(t.Context(), q, 15, true)
+			r := f.instances[n%3].chat(t.Context(), q, 15, true)
 
-			b, whole := text(r.body)
-			if r.err != nil || !whole || b != want(q, 15) {
-				t.Errorf("%s: %v %v %q", q, r.err, whole, r.body)
+			b, complete := streamedText(r.body)
+			if r.err != nil || !complete || b != wantAnswer(q, 15) {
+				t.Errorf("%s: %v %v %q", q, r.err, complete, r.body)
 			}
 		})
 	}
@@ -64,16 +64,16 @@
 	g.Wait()
 
 	resumed := int64(0)
-	for _, n := range f.nodes {
+	for _, n := range f.instances {
 		resumed += n.metric(counter.Resumed)
 	}
 
-	i.True(resumed >= 45) // each broke at least once
+	i.True(resumed >= 45) // each stream was interrupted at least once
 }
 
-// A stream breaks and can't be resumed, after a part has reached the caller. The
-// caller must not take the part for the whole: it gets an error, no end, and a
-// connection that closes.
+// Guards against truncated answers that look complete: a stream breaks after a part was sent
+// to the caller and cannot be resumed. The caller must get an error event, no normal end, and
+// a closed connection.
 func TestABrokenAnswerHasNoNormalEnd(t *testing.T) {
 	i := is.New(t)
 	f := newFleet(t, 1, 0)
@@ -82,19 +82,19 @@
 	f.engines[0].SetFaults(engine.Faults{BreakAfter: 3, LoseStreams: true})
 
 	r := n.chat(t.Context(), "q", 10, true)
-	_, whole := text(r.body)
-	i.True(!whole)
+	_, complete := streamedText(r.body)
+	i.True(!complete)
 	i.True(r.err != nil)
 	i.True(strings.Contains(r.body, string(exchanger.CodeBroken)))
 }
 
-// A router is told to stop while a close review streams through it. The review
-// ends whole, and what comes after the notice is refused as not run.
+// A router is stopped while it streams an answer. The answer must be completed, and calls that
+// arrive after the drain notice are refused as not run.
 func TestAPlannedStopCutsNothing(t *testing.T) {
 	i := is.New(t)
 	f := newFleet(t, 2, 0)
 	a, b := f.add("dc-1"), f.add("dc-1")
-	f.together()
+	f.awaitMembership()
 
 	var (
 		g sync.WaitGroup
@@ -112,27 +112,27 @@
 	i.Equal(a.do(t.Context(), http.MethodGet, "/readyz", "", "").status, http.StatusServiceUnavailable)
 	g.Wait()
 
-	x, whole := text(r.body)
+	x, complete := streamedText(r.body)
 	i.NoErr(r.err)
-	i.True(whole)
-	i.Equal(x, want("review", 300))
+	i.True(complete)
+	i.Equal(x, wantAnswer("review", 300))
 	i.Equal(b.chat(t.Context(), "next", 2, false).outcome(), string(exchanger.Ran))
 }
 
-// Chats return after their home was stopped as planned. The next home was handed
-// their places, so their prompt caches are used again.
+// Guards against the loss of placements when a home is stopped as planned. It hands them over
+// to the next home, so that chats return to the engines with their prompt caches.
 func TestAStoppedHomeHandsItsPlacesOver(t *testing.T) {
 	i := is.New(t)
 	f := newFleet(t, 4, 0)
 	a, b := f.add("dc-1"), f.add("dc-1")
-	f.together()
+	f.awaitMembership()
 
-	if b.router.Home(chatCell()) {
+	if b.router.IsHome(chatCell()) {
 		a, b = b, a
 	}
 
-	// While three of the four engines are busy, chats get a place on the fourth,
-	// which they would not find again by hashing alone.
+	// While three of the four engines are busy, chats are placed on the fourth. They
+	// would not return to it by hashing alone.
 	c, end := context.WithCancel(t.Context())
 
 	var g sync.WaitGroup
@@ -143,11 +143,11 @@
 
 	waiter.Until(t, "the calls in progress", func() bool { return b.metric(counter.InFlight) == 3 })
 
-	place := make(map[string]string)
+	placed := make(map[string]string)
 
 	for k := range 12 {
 		q := "chat " + strconv.Itoa(k)
-		place[q] = b.chat(t.Context(), q, 1, false).header.Get(exchanger.HeaderTarget)
+		placed[q] = b.chat(t.Context(), q, 1, false).header.Get(exchanger.HeaderTarget)
 	}
 
 	end()
@@ -155,13 +155,13 @@
 	waiter.Until(t, "the calls' end", func() bool { return b.metric(counter.InFlight) == 0 })
 	f.stop(a)
 
-	for q, p := range place {
+	for q, p := range placed {
 		i.Equal(b.chat(t.Context(), q, 1, false).header.Get(exchanger.HeaderTarget), p)
 	}
 }
 
-// One booking comes to all routers at once, as when a rider's app repeats it.
-// The rider is booked once, and everyone who asks gets that booking's answer.
+// Calls with one idempotency key arrive at all routers concurrently, as when an app repeats a
+// call. The call must run once, and every caller gets the answer of that execution.
 func TestABookingRunsOnce(t *testing.T) {
 	f := newFleet(t, 0, 2)
 
@@ -169,12 +169,12 @@
 		f.add("dc-1")
 	}
 
-	f.together()
+	f.awaitMembership()
 
 	var g sync.WaitGroup
 
 	for k := range 20 {
-		for _, n := range f.nodes {
+		for _, n := range f.instances {
 			g.Go(func() { bookUntilAnswered(t, n, fmt.Sprintf("key-%d", k)) })
 		}
 	}
@@ -190,7 +190,8 @@
 	}
 }
 
-func bookUntilAnswered(t *testing.T, n *node, key string) {
+// bookUntilAnswered repeats a call until it is answered, and checks that it was executed once.
+func bookUntilAnswered(t *testing.T, n *instance, key string) {
 	t.Helper()
 
 	for range 100 {
@@ -206,42 +207,42 @@
 		time.Sleep(50 * time.Millisecond)
 	}
 
-	t.Errorf("%s was never answered", key)
+	t.Errorf("%s was not answered after 100 calls", key)
 }
 
-// What a call is told must be true. The service cuts its connections, refuses,
-// is not there, or the log is down; the counts of the service show what ran.
+// Guards against wrong outcomes: for each failure of the service or the log, the outcome that
+// the caller gets must agree with the service's count of executions.
 func TestOutcomesAreTrue(t *testing.T) {
 	for name, tc := range map[string]struct {
 		service service.Faults
 		log     platform.Faults
-		gone    bool
+		stopped bool
 		key     string
 		want    exchanger.Outcome
 		runs    int
-		again   exchanger.Outcome
+		repeat  exchanger.Outcome
 	}{
-		"it runs":                                  {key: "k", want: exchanger.Ran, runs: 1, again: exchanger.Ran},
-		"it fails after it ran":                    {service: service.Faults{Fail: true}, key: "k", want: exchanger.Ran, runs: 1, again: exchanger.Ran},
-		"the answer is lost":                       {service: service.Faults{Cut: true}, key: "k", want: exchanger.Unknown, runs: 1, again: exchanger.Unknown},
-		"the answer is lost, without a key":        {service: service.Faults{Cut: true}, want: exchanger.Unknown, runs: 1},
-		"the service says it did not run":          {service: service.Faults{Refuse: true}, key: "k", want: exchanger.NotRun, again: exchanger.NotRun},
-		"the service is not there":                 {gone: true, key: "k", want: exchanger.NotRun, again: exchanger.NotRun},
-		"the log is down":                          {log: platform.Faults{Outage: true}, key: "k", want: exchanger.NotRun, again: exchanger.NotRun},
-		"the log is down, and there is no key":     {log: platform.Faults{Outage: true}, want: exchanger.Ran, runs: 1},
-		"the log loses the replies to its appends": {log: platform.Faults{LoseReplies: 2}, key: "k", want: exchanger.Ran, runs: 1, again: exchanger.Ran},
+		"no failure":                          {key: "k", want: exchanger.Ran, runs: 1, repeat: exchanger.Ran},
+		"service fails after it ran the call": {service: service.Faults{Fail: true}, key: "k", want: exchanger.Ran, runs: 1, repeat: exchanger.Ran},
+		"answer lost":                         {service: service.Faults{Cut: true}, key: "k", want: exchanger.Unknown, runs: 1, repeat: exchanger.Unknown},
+		"answer lost, without a key":          {service: service.Faults{Cut: true}, want: exchanger.Unknown, runs: 1},
+		"service reports not run":             {service: service.Faults{Refuse: true}, key: "k", want: exchanger.NotRun, repeat: exchanger.NotRun},
+		"service stopped":                     {stopped: true, key: "k", want: exchanger.NotRun, repeat: exchanger.NotRun},
+		"log unavailable":                     {log: platform.Faults{Outage: true}, key: "k", want: exchanger.NotRun, repeat: exchanger.NotRun},
+		"log unavailable, without a key":      {log: platform.Faults{Outage: true}, want: exchanger.Ran, runs: 1},
+		"log loses replies to appends":        {log: platform.Faults{LoseReplies: 2}, key: "k", want: exchanger.Ran, runs: 1, repeat: exchanger.Ran},
 	} {
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
 			f := newFleet(t, 0, 1)
 
-			if tc.gone {
-				f.target("s0", "service", f.dead())
+			if tc.stopped {
+				f.addTarget("s0", "service", f.unusedAddress())
 				f.publish(1)
 			}
 
 			n := f.add("dc-1")
-			waiter.Until(t, "the revision", func() bool { return !tc.gone || n.metric(counter.Revision) == 2 })
+			waiter.Until(t, "the revision", func() bool { return !tc.stopped || n.metric(counter.Revision) == 2 })
 			f.services[0].SetFaults(tc.service)
 			f.platform.SetFaults(tc.log)
 
@@ -249,16 +250,16 @@
 			i.Equal(f.services[0].Counts()[tc.key], tc.runs)
 
 			if tc.key != "" {
-				i.Equal(n.do(t.Context(), http.MethodPost, "/book", tc.key, "body").outcome(), string(tc.again))
-				i.Equal(f.services[0].Counts()[tc.key], tc.runs) // no second run
+				i.Equal(n.do(t.Context(), http.MethodPost, "/book", tc.key, "body").outcome(), string(tc.repeat))
+				i.Equal(f.services[0].Counts()[tc.key], tc.runs) // not run again
 			}
 		})
 	}
 }
 
-// The library that sends requests repeats one by itself when a kept connection
-// breaks under it and the request has an Idempotency-Key or no body. The service
-// runs the call and cuts the connection, each time on one that was kept.
+// Guards against retries by http.Transport. It repeats a request with an Idempotency-Key or
+// without a body when a reused connection breaks. The service runs each call and then closes
+// the reused connection.
 func TestTheTransportRepeatsNothing(t *testing.T) {
 	i := is.New(t)
 	f := newFleet(t, 0, 1)
@@ -275,7 +276,7 @@
 	}
 }
 
-func TestAKeyIsBoundToItsBody(t *testing.T) {
+func TestKeyIsBoundToItsBody(t *testing.T) {
 	i := is.New(t)
 	f := newFleet(t, 0, 1)
 	n := f.add("dc-1")
@@ -287,17 +288,17 @@
 	i.Equal(f.services[0].Counts()["k"], 1)
 }
 
-// A data centre can't reach the platform. A change must reach its routers all
-// the same, through their peers; one that starts there takes what the peers
-// hold; and when the log is back nobody steps back.
+// Guards against an outdated configuration in a data centre that cannot reach the platform. Its
+// routers must receive a change from their peers, also a router that starts there, and none
+// may return to an earlier revision when the log is available again.
 func TestAChangeReachesACutOffDataCentre(t *testing.T) {
 	i := is.New(t)
 	f := newFleet(t, 1, 0)
 	a, b := f.add("dc-1"), f.add("dc-2")
-	f.together()
+	f.awaitMembership()
 
 	f.platform.SetFaults(platform.Faults{Cut: []string{"dc-2"}})
-	f.target("late", "engine", f.dead())
+	f.addTarget("late", "engine", f.unusedAddress())
 	r := int64(f.publish(1))
 
 	waiter.Until(t, "the revision", func() bool { return a.metric(counter.Revision) == r })
@@ -307,10 +308,10 @@
 	waiter.Until(t, "the revision", func() bool { return c.metric(counter.Revision) == r })
 
 	f.platform.SetFaults(platform.Faults{})
-	f.target("later", "engine", f.dead())
+	f.addTarget("later", "engine", f.unusedAddress())
 
 	next := int64(f.publish(uint64(r)))
-	for _, n := range f.nodes {
+	for _, n := range f.instances {
 		waiter.Until(t, "the revision", func() bool {
 			v := n.metric(counter.Revision)
 			i.True(v >= r)
@@ -320,9 +321,9 @@
 	}
 }
 
-// A router starts while nothing can be reached. It must not show itself ready,
-// or callers would meet a router that knows no target.
-func TestARouterWithoutConfigurationIsNotReady(t *testing.T) {
+// A router starts while the platform is unavailable. It must not report ready, as it knows no
+// target.
+func TestRouterWithoutConfigurationIsNotReady(t *testing.T) {
 	i := is.New(t)
 	f := newFleet(t, 1, 0)
 	f.platform.SetFaults(platform.Faults{Outage: true})
@@ -335,32 +336,32 @@
 	waiter.Until(t, "readiness", func() bool { return n.do(t.Context(), http.MethodGet, "/readyz", "", "").status == http.StatusOK })
 }
 
-// A target leaves: by the platform's list, by the operators, or by its own word.
-// Within seconds no new chat may go there, and it stays so while other sources
-// still call it live.
+// Guards against new calls to a target that is leaving according to one source, while other
+// sources still report it as live. The sources are the platform's list, the configuration and
+// the target itself.
 func TestALeavingTargetGetsNoNewWork(t *testing.T) {
 	for name, leave := range map[string]func(f *fleet){
-		"by the list": func(f *fleet) {
-			f.list(recorder.Instance{Name: "e0", Role: "target", Incarnation: f.engines[0].Incarnation(), Leaving: true})
+		"platform list": func(f *fleet) {
+			f.registerInstance(recorder.Instance{Name: "e0", Role: "target", Incarnation: f.engines[0].Incarnation(), Leaving: true})
 		},
-		"by the operators": func(f *fleet) {
+		"configuration": func(f *fleet) {
 			x, _ := f.targets["e0"].(map[string]any)
 			x["drain"] = true
 			f.publish(1)
 		},
-		"by its own word": func(f *fleet) { f.engines[0].Leave() },
+		"target itself": func(f *fleet) { f.engines[0].Leave() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
 			f := newFleet(t, 2, 0)
 			n := f.add("dc-1")
 			f.add("dc-1")
-			f.together()
+			f.awaitMembership()
 			leave(f)
 
 			k := 0
 
-			waiter.Until(t, "the last call to the target that left", func() bool {
+			waiter.Until(t, "the last call to the leaving target", func() bool {
 				for range 8 {
 					k++
 
@@ -380,7 +381,7 @@
 	}
 }
 
-// A caller hangs up. Its answer would go on taking a slot that others wait for.
+// Guards against calls that occupy a slot after their caller has disconnected.
 func TestACallerThatHangsUpFreesItsSlot(t *testing.T) {
 	f := newFleet(t, 1, 0)
 	n := f.add("dc-1")
@@ -389,14 +390,14 @@
 	var g sync.WaitGroup
 
 	g.Go(func() { n.chat(c, "q", 2000, true) })
-	waiter.Until(t, "the engine's call", func() bool { return f.engines[0].Running() == 1 })
+	waiter.Until(t, "the call at the engine", func() bool { return f.engines[0].Running() == 1 })
 	hangUp()
 	waiter.Until(t, "the cancellation", func() bool { return f.engines[0].Running() == 0 && f.engines[0].Canceled() == 1 })
 	g.Wait()
 	waiter.Until(t, "the calls' end", func() bool { return n.metric(counter.InFlight) == 0 })
 }
 
-func TestBadInputIsRefused(t *testing.T) {
+func TestInvalidInputIsRefused(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	n := f.add("dc-1")
 
@@ -405,15 +406,15 @@
 		status                    int
 		code                      exchanger.Code
 	}{
-		"no JSON":           {"/v1/chat/completions", "", "", "{", 400, exchanger.CodeBadRequest},
-		"no messages":       {"/v1/chat/completions", "", "", "{}", 400, exchanger.CodeBadRequest},
-		"no customer":       {"/book", exchanger.HeaderCustomer, "", "", 400, exchanger.CodeNoCustomer},
-		"an unknown one":    {"/book", exchanger.HeaderCustomer, "who", "", 403, exchanger.CodeNoCustomer},
-		"no deadline":       {"/book", exchanger.HeaderDeadline, "soon", "", 400, exchanger.CodeBadRequest},
-		"a negative one":    {"/book", exchanger.HeaderDeadline, "-1s", "", 400, exchanger.CodeBadRequest},
-		"a long key":        {"/book", exchanger.HeaderKey, strings.Repeat("k", 300), "", 400, exchanger.CodeBadRequest},
-		"a large body":      {"/book", "", "", strings.Repeat("x", 9<<20), 413, exchanger.CodeTooLarge},
-		"a token not given": {"/v1/chat/completions", exchanger.HeaderPlace, "\x7f~", `{"messages":[]}`, 400, exchanger.CodeBadRequest},
+		"invalid JSON":            {"/v1/chat/completions", "", "", "{", 400, exchanger.CodeBadRequest},
+		"no messages":             {"/v1/chat/completions", "", "", "{}", 400, exchanger.CodeBadRequest},
+		"missing customer":        {"/book", exchanger.HeaderCustomer, "", "", 400, exchanger.CodeNoCustomer},
+		"unknown customer":        {"/book", exchanger.HeaderCustomer, "who", "", 403, exchanger.CodeNoCustomer},
+		"invalid deadline":        {"/book", exchanger.HeaderDeadline, "soon", "", 400, exchanger.CodeBadRequest},
+		"negative deadline":       {"/book", exchanger.HeaderDeadline, "-1s", "", 400, exchanger.CodeBadRequest},
+		"key too long":            {"/book", exchanger.HeaderKey, strings.Repeat("k", 300), "", 400, exchanger.CodeBadRequest},
+		"body too large":          {"/book", "", "", strings.Repeat("x", 9<<20), 413, exchanger.CodeTooLarge},
+		"invalid placement token": {"/v1/chat/completions", exchanger.HeaderPlace, "\x7f~", `{"messages":[]}`, 400, exchanger.CodeBadRequest},
 	} {
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
@@ -428,7 +429,7 @@
 
 			r, err := http.DefaultTransport.RoundTrip(q)
 			if err != nil && tc.value == "\x7f~" {
-				return // the library does not even send it
+				return // net/http rejects the header before sending
 			}
 
 			i.NoErr(err)
@@ -439,11 +440,11 @@
 	}
 }
 
-// chatCell returns the cell that the fleet's engines are in.
+// chatCell returns the ID of the cell that the fleet's engines belong to.
 func chatCell() uint32 { return hasher.Name("chats/r/0") }
 
-// A home is gone at once, as when its host dies. The entries find out by a
-// failed ask, and go on with the next home without a call being lost.
+// Guards against lost calls when the home of a cell disappears, as when its host crashes. The
+// other routers notice by a failed request and continue with the next home.
 func TestALostHomeLosesNoCall(t *testing.T) {
 	i := is.New(t)
 	f := newFleet(t, 3, 0)
@@ -452,41 +453,42 @@
 		f.add("dc-1")
 	}
 
-	f.together()
-	i.Equal(f.nodes[0].chat(t.Context(), "q", 1, false).outcome(), string(exchanger.Ran))
+	f.awaitMembership()
+	i.Equal(f.instances[0].chat(t.Context(), "q", 1, false).outcome(), string(exchanger.Ran))
 
 	home := 0
 
-	for k, n := range f.nodes {
-		if n.router.Home(chatCell()) {
+	for k, n := range f.instances {
+		if n.router.IsHome(chatCell()) {
 			home = k
 		}
 	}
 
-	f.nodes[home].router.Vanish()
+	f.instances[home].router.Disconnect()
 
 	for k := range 30 {
-		n := f.nodes[(home+1+k%2)%3]
+		n := f.instances[(home+1+k%2)%3]
 		i.Equal(n.chat(t.Context(), "q"+strconv.Itoa(k), 1, false).outcome(), string(exchanger.Ran))
 	}
 }
 
-// A data centre is cut off from the other and from the platform. Each side goes
-// on serving with its own engine and the configuration it has; a change made
-// meanwhile waits outside and comes in when the cut heals, and nobody steps back.
+// Guards against failed calls during a network partition: a data centre is cut off from the
+// other one and from the platform. Each side must continue to serve with its own engine and its
+// current configuration. A change made meanwhile is applied when the partition ends, and no
+// router returns to an earlier revision.
 func TestACutOffDataCentreServesOn(t *testing.T) {
 	i := is.New(t)
 	f := newFleet(t, 2, 0)
-	f.move("e1", "dc-2")
+	f.moveTarget("e1", "dc-2")
 	r := int64(f.publish(1))
 	a, b := f.add("dc-1"), f.add("dc-2")
-	f.together()
+	f.awaitMembership()
 	waiter.Until(t, "the revision", func() bool { return a.metric(counter.Revision) == r && b.metric(counter.Revision) == r })
 
 	f.platform.SetFaults(platform.Faults{Cut: []string{"dc-2"}})
 	f.network.isolate("dc-2")
 
-	served := func(n *node, name string) map[string]bool {
+	served := func(n *instance, name string) map[string]bool {
 		o := make(map[string]bool)
 
 		for k := range 20 {
@@ -502,23 +504,23 @@
 	i.Equal(served(a, "a"), map[string]bool{"e0": true})
 	i.Equal(served(b, "b"), map[string]bool{"e1": true})
 
-	f.target("late", "engine", f.dead())
+	f.addTarget("late", "engine", f.unusedAddress())
 	next := int64(f.publish(uint64(r)))
 	waiter.Until(t, "the revision", func() bool { return a.metric(counter.Revision) == next })
 	i.Equal(b.metric(counter.Revision), r)
 
 	f.platform.SetFaults(platform.Faults{})
 	f.network.isolate("")
-	f.together()
+	f.awaitMembership()
 	waiter.Until(t, "the revision", func() bool { return b.metric(counter.Revision) == next })
 	served(a, "c")
 	served(b, "d")
 }
 
-// The guard against pauses rests on ticks. Had they ended, or never begun, each time
-// that runs out would pass for a pause of the router's own, and a target or a home that
-// is mute would never be left alone.
-func TestARouterThatRunsDoesNotTakeItselfForPaused(t *testing.T) {
+// Guards against a stall detector whose ticks do not run. Every time-out would then be
+// attributed to a stall of the router, and unresponsive targets and homes would never be
+// excluded.
+func TestRunningRouterReportsNoStall(t *testing.T) {
 	f := newFleet(t, 1, 0)
 	n := f.add("dc-1")
 
@@ -528,8 +530,8 @@
 	}
 }
 
-// An operator looks for the hop on which a slow call spent its time. Each step has
-// a span in the call's own trace, and targets are told of it.
+// Each filter must have a span in the trace of the call, so that operators can see where a slow
+// call spent its time.
 func TestTraces(t *testing.T) {
 	i := is.New(t)
 
--- a/internal/router/run.go
+++ b/internal/router/run.go
@@ -19,35 +19,40 @@
 )
 
 const (
-	advanceEvery  = 50 * time.Millisecond
+	// drainPollInterval is how often Stop checks whether the router is drained.
+	drainPollInterval = 50 * time.Millisecond
+	// settleTimeout limits the work after the drain: recording outcomes, handing over
+	// placements and closing connections.
 	settleTimeout = 15 * time.Second
-	sendTimeout   = 2 * time.Second
-	// handOverChunk is how many places go in one message.
-	handOverChunk = 4096
+	// sendTimeout limits the sending of one message to a peer.
+	sendTimeout = 2 * time.Second
+	// maxHandOverPlacements is the largest number of placements in one message.
+	maxHandOverPlacements = 4096
 )
 
-// register makes the parts answer peers.
-func (r *Router) register(g *registrar.Registrar) {
+// registerHandlers registers the components' handlers for messages from peers.
+func (r *Router) registerHandlers(g *registrar.Registrar) {
 	r.messenger.Handle(wire.KindGossip, r.joiner.Gossip)
 	r.messenger.Handle(wire.KindState, r.follower.State)
-	r.keeper.Register(r.messenger)
-	r.warner.Register(r.messenger)
+	r.supervisor.Register(r.messenger)
+	r.replicator.Register(r.messenger)
 	g.Register(r.messenger)
 }
 
-// follow connects the metrics that are read where they stand.
-func (r *Router) follow() {
+// registerGauges registers the metrics that are computed when they are read.
+func (r *Router) registerGauges() {
 	n := r.counter
 	n.Follow(counter.Revision, func() int64 { return int64(r.follower.Revision()) }) //nolint:gosec // Below 2^63.
 	n.Follow(counter.Routers, func() int64 { return int64(len(r.joiner.Live())) })
 	n.Follow(counter.InFlight, func() int64 { return int64(r.drainer.Running()) })
-	n.Follow(counter.Places, func() int64 { return int64(r.keeper.Places()) })
+	n.Follow(counter.Places, func() int64 { return int64(r.supervisor.Places()) })
 	n.Follow(counter.PlatformBytes, r.recorder.Bytes)
 	n.Follow(counter.ControlSent, func() int64 { s, _ := r.messenger.Traffic().Bytes(); return s })
 	n.Follow(counter.ControlReceived, func() int64 { _, s := r.messenger.Traffic().Bytes(); return s })
 }
 
-// Start serves callers and peers in the background.
+// Start begins to serve callers and peers in the background and returns at once. It does not
+// fail.
 func (r *Router) Start(context.Context) error {
 	c, stop := context.WithCancel(context.Background())
 	r.stop = stop
@@ -56,10 +61,10 @@
 	r.background(func() { r.stalls.run(c) })
 	r.background(func() { r.joiner.Run(c) })
 	r.background(func() { r.follower.Run(c) })
-	r.background(func() { r.asker.Run(c) })
-	r.background(func() { r.warner.Run(c) })
-	r.background(func() { r.keeper.Run(c, r.home) })
-	r.background(func() { r.orderer.Run(c, r.follower.Force, r.mine) })
+	r.background(func() { r.requester.Run(c) })
+	r.background(func() { r.replicator.Run(c) })
+	r.background(func() { r.supervisor.Run(c, r.home) })
+	r.background(func() { r.reconciler.Run(c, r.follower.Force, r.isHome) })
 	r.background(r.serve)
 
 	if r.settings.Debug.IsValid() {
@@ -74,19 +79,19 @@
 	return nil
 }
 
-// Stop stops as planned. It shows not ready and waits for the balancer to
-// notice, then answers new calls that they were not run while those in progress
-// run to their end; then it hands over what it knows and ends.
+// Stop drains and stops the router. It reports not ready until the load balancer has
+// noticed, then refuses new calls while calls in progress complete, hands its placements
+// over to other routers and shuts down. It fails if the context ends first.
 func (r *Router) Stop(c context.Context) error {
 	r.drainer.Notice(time.Now())
 	logrus.WithFields(logrus.Fields{"event": "stopping", "name": r.settings.Name, "inFlight": r.drainer.Running()}).Info()
 
-	t := time.NewTicker(advanceEvery)
+	t := time.NewTicker(drainPollInterval)
 	defer t.Stop()
 
-	// Peers stop taking this router for a home at once; until they have, it
-	// still answers them. The next homes get the places now, and at the end
-	// those that came since.
+	// Peers are notified that this router is no longer a home. It continues to answer
+	// their requests until they have applied that. The next homes receive the
+	// placements now and, after the drain, those added since.
 	r.joiner.Leave(c)
 	r.handOver(c)
 
@@ -123,6 +128,7 @@
 	return r.counter
 }
 
+// background runs a function in a goroutine that Stop waits for.
 func (r *Router) background(f func()) {
 	r.group.Add(1)
 
@@ -132,6 +138,7 @@
 	}()
 }
 
+// serve serves callers, over TLS if a certificate is set, until the server is shut down.
 func (r *Router) serve() {
 	var err error
 
@@ -146,7 +153,7 @@
 	}
 }
 
-// debug serves the metrics and profiles until the context ends.
+// debug serves metrics and profiles on the debug address until the context ends.
 func (r *Router) debug(c context.Context) {
 	m := http.NewServeMux()
 	m.Handle("/debug/vars", counter.Handler())
@@ -162,24 +169,24 @@
 	}
 }
 
-// home returns the router that is a cell's home, or zero when none is known.
+// home returns the ID of the router that is the home of a cell, or zero if none is known.
 func (r *Router) home(x *matcher.Cell) uint64 {
 	h, _ := r.joiner.Home(uint64(x.ID), x.DataCentres)
 
 	return h.ID
 }
 
-// mine says whether this router is a cell's home.
-func (r *Router) mine(x *matcher.Cell) bool {
+// isHome reports whether this router is the home of a cell.
+func (r *Router) isHome(x *matcher.Cell) bool {
 	return r.home(x) == r.joiner.Self().ID
 }
 
-// handOver passes the places of each cell to its next home. Without it, each
-// planned stop would cost the cell's chats their prompt caches.
+// handOver sends the placements of each cell to its next home. Otherwise the chats of the
+// cell would lose their prompt caches at every planned stop.
 func (r *Router) handOver(c context.Context) {
 	n := 0
 
-	r.keeper.Each(func(id uint32, l []wire.Place) {
+	r.supervisor.Each(func(id uint32, l []wire.Place) {
 		x := r.follower.Force().Matcher.Cell(id)
 		if x == nil {
 			return
@@ -191,8 +198,8 @@
 		}
 
 		for len(l) > 0 {
-			k := min(len(l), handOverChunk)
-			if err := r.tell(c, &wire.HandOver{Cell: id, Places: l[:k]}, h.Address); err != nil {
+			k := min(len(l), maxHandOverPlacements)
+			if err := r.sendHandOver(c, &wire.HandOver{Cell: id, Places: l[:k]}, h.Address); err != nil {
 				logrus.WithFields(logrus.Fields{"event": "handOverFailed", "peer": h.Address, "error": err}).Warn()
 
 				return
@@ -206,7 +213,8 @@
 	logrus.WithFields(logrus.Fields{"event": "handedOver", "places": n}).Info()
 }
 
-func (r *Router) tell(c context.Context, m msgp.Marshaler, a netip.AddrPort) error {
+// sendHandOver sends placements to a peer within sendTimeout.
+func (r *Router) sendHandOver(c context.Context, m msgp.Marshaler, a netip.AddrPort) error {
 	x, stop := context.WithTimeout(c, sendTimeout)
 	defer stop()
 
--- a/internal/router/tls_test.go
+++ b/internal/router/tls_test.go
@@ -28,8 +28,8 @@
 	"github.com/auburntray/auburntray/internal/standin/waiter"
 )
 
-// certificate writes a certificate for loopback and its key, and returns the
-// names of the files.
+// certificate writes a self-signed certificate for the loopback address and its key, and
+// returns the names of the files.
 func certificate(t *testing.T) (cert, key string) {
 	t.Helper()
 
@@ -62,6 +62,7 @@
 	return cert, key
 }
 
+// write writes a PEM file.
 func write(t *testing.T, name, kind string, b []byte) {
 	t.Helper()
 
@@ -70,8 +71,8 @@
 	}
 }
 
-// With certificates given, callers are served and targets are spoken to over
-// TLS only, and a target that shows another certificate gets nothing.
+// With certificates in the settings, callers and targets are connected over TLS only, and a
+// target with a certificate of another authority gets no call.
 func TestTLS(t *testing.T) {
 	i := is.New(t)
 	cert, key := certificate(t)
@@ -85,11 +86,11 @@
 
 	defer h.Close()
 
-	stranger := httptest.NewTLSServer(s.Handler())
-	defer stranger.Close()
+	untrusted := httptest.NewTLSServer(s.Handler())
+	defer untrusted.Close()
 
 	f := newFleet(t, 0, 0)
-	f.target("s0", "service", netip.MustParseAddrPort(strings.TrimPrefix(h.URL, "https://")))
+	f.addTarget("s0", "service", netip.MustParseAddrPort(strings.TrimPrefix(h.URL, "https://")))
 	f.publish(1)
 
 	n := f.startWith("dc-1", func(r *resolver.Router) {
@@ -123,37 +124,38 @@
 	i.Equal(book("one"), "ran")
 	i.Equal(n.do(t.Context(), http.MethodGet, "/readyz", "", "").status, http.StatusBadRequest) // plain HTTP
 
-	f.target("s0", "service", netip.MustParseAddrPort(strings.TrimPrefix(stranger.URL, "https://")))
+	f.addTarget("s0", "service", netip.MustParseAddrPort(strings.TrimPrefix(untrusted.URL, "https://")))
 	f.publish(2)
 	waiter.Until(t, "the revision", func() bool { return n.metric(counter.Revision) == 3 })
-	i.Equal(book("two"), "notRun") // and truly: no connection was made
+	i.Equal(book("two"), "notRun") // no connection was made
 	i.Equal(s.Counts()["two"], 0)
 }
 
-// Whoever reaches the port for peers could hand over places, release grants or
-// claim to be a home. With certificates given, a process that shows none of the
-// fleet's own is no peer, and the others go on among themselves.
+// Guards against processes outside the fleet that act as peers, such as by handing over
+// placements, releasing grants or claiming to be a home. With peer certificates, a process
+// without a certificate of the fleet is not accepted as a peer, and the fleet's own routers
+// continue to work.
 func TestOnlyRoutersOfTheFleetArePeers(t *testing.T) {
 	i := is.New(t)
 	f := newFleet(t, 1, 0)
 
-	with := func(cert, key string) *node {
+	start := func(cert, key string) *instance {
 		return f.startWith("dc-1", func(r *resolver.Router) { r.PeerCert, r.PeerKey, r.PeerCA = cert, key, cert })
 	}
 
 	cert, key := certificate(t)
-	a, b := with(cert, key), with(cert, key)
-	f.together()
+	a, b := start(cert, key), start(cert, key)
+	f.awaitMembership()
 
-	strange, strangeKey := certificate(t)
-	with(strange, strangeKey)
-	f.start("dc-1") // and one without any
+	otherCert, otherKey := certificate(t)
+	start(otherCert, otherKey)
+	f.start("dc-1") // without a certificate
 
 	i.Equal(a.chat(t.Context(), "q", 1, false).outcome(), "ran")
 	i.Equal(b.chat(t.Context(), "q", 1, false).outcome(), "ran")
 	time.Sleep(2500 * time.Millisecond) // two rounds of gossip
 
-	for _, n := range f.nodes {
+	for _, n := range f.instances {
 		want := int64(1)
 		if n == a || n == b {
 			want = 2
