--- a/internal/admitter/admitter.go
+++ b/internal/admitter/admitter.go
@@ -1,10 +1,10 @@
-// Package admitter decides which calls go first when targets have more of them than
-// they can begin in time.
+// Package admitter decides which calls are sent ahead of the others when targets are
+// overloaded.
 //
-// Targets take calls of one priority in the order in which they come. When more come
-// than they can begin, each waits behind all before it, and soon every call begins
-// late, though the targets could have begun most of them in time. So a part of the
-// calls, no more than can be begun in time, goes ahead of the others.
+// Targets serve the calls of one priority in the order of arrival. Under overload each call
+// queues behind all earlier ones, so that soon every answer begins late, although the
+// targets could have begun most of them in time. The admitter therefore adjusts, for each
+// lane, the share of calls that is admitted to the share that can begin in time.
 package admitter
 
 import (
@@ -16,95 +16,97 @@
 )
 
 const (
-	// settleEvery is the time between two looks at how a lane does. It is well below
-	// the time within which calls should begin, some hundred milliseconds.
-	settleEvery = 100 * time.Millisecond
-	// leastKnown is how many calls must have begun, or not, for a verdict; after
-	// settleMost fewer are enough, so that an instance with few calls learns too.
-	leastKnown = 5
-	settleMost = 500 * time.Millisecond
-	// missMost is the part of the calls that may begin late. Some do at any load,
-	// since their prompts are long or are read for the first time: one in twenty on a
-	// day without trouble.
-	missMost = 0.15
-	// cut is what is left of a lane after a verdict of too many, and raise what is
-	// added after a good one. Of the pairs that were tried on the load of the tests,
-	// these had the most calls in time: 302 of 429, with 0.85 and 0.03 281, with 0.7
-	// and 0.05 292.
-	cut   = 0.8
-	raise = 0.05
-	// leastShare keeps some calls in a lane whatever happens: without any, nobody
-	// would notice that they begin in time again.
-	leastShare = 0.1
-	// rateWindow is the time over which the calls of a customer are counted.
+	// adjustInterval is the time between two adjustments of a lane's share. It is well
+	// below the latency objective of calls, which is a few hundred milliseconds.
+	adjustInterval = 100 * time.Millisecond
+	// minSample is the number of results that an adjustment needs. After
+	// maxAdjustInterval fewer suffice, so that an instance with few calls adjusts too.
+	minSample         = 5
+	maxAdjustInterval = 500 * time.Millisecond
+	// maxMissRate is the fraction of calls that may begin late. One in twenty does under
+	// normal load, since its prompt is long or is read for the first time.
+	maxMissRate = 0.15
+	// The share is multiplied by decreaseFactor if too many calls begin late, and
+	// otherwise raised by increaseStep. Of the pairs tried on the load of the tests, this
+	// one has the most calls in time: 302 of 429, against 281 with 0.85 and 0.03, and 292
+	// with 0.7 and 0.05.
+	decreaseFactor = 0.8
+	increaseStep   = 0.05
+	// minShare is the lower bound of a lane's share. Without admitted calls the admitter
+	// could not detect that calls begin in time again. A customer with fewer calls per
+	// rateWindow than this is dropped.
+	minShare = 0.1
+	// rateWindow is the time over which the call rate of a customer is averaged.
 	rateWindow = time.Second
 )
 
-// Lane is a set of calls that targets take in the order in which they come.
+// Lane identifies the calls of one group and priority class, which targets serve in the
+// order of arrival.
 type Lane struct {
 	Group    string
 	Priority int
-	// Late is the lane of those that are not expected to begin in time.
+	// Late marks the lane of the calls that are not expected to begin in time.
 	Late bool
 }
 
-// Ticket is a call that was let into a lane. Its zero value is no call.
+// Ticket is a call that was admitted to a lane. The zero value belongs to no call.
 type Ticket struct {
 	lane *lane
 	due  time.Time
 	done bool
-	// cuts is how often the lane had been cut when the call was let in.
-	cuts int
+	// decreases is the lane's number of decreases when the call was admitted.
+	decreases int
 }
 
-// customer is one customer's calls in a lane.
+// customer holds the call rate of one customer in a lane.
 type customer struct {
-	// calls are those since the last verdict, rate how many there are a second.
+	// calls counts the calls since the last adjustment; rate is their number per second.
 	calls int
 	rate  float64
-	// part is the part of them that is let in, and credit what is left of it.
-	part, credit float64
+	// fraction is the fraction of calls that is admitted. Each call adds it to credit, and
+	// an admitted call takes 1 from credit.
+	fraction, credit float64
 }
 
-// lane is what is known of a Lane.
+// lane is the state of a Lane.
 type lane struct {
 	share     float64
 	customers map[uint32]*customer
 	pending   tickets
 	hits      int
 	misses    int
-	settled   time.Time
-	cuts      int
+	adjusted  time.Time
+	decreases int
 }
 
-// Admitter follows the lanes of one instance. It is not safe for concurrent use.
+// Admitter holds the lanes of one instance. It is not safe for concurrent use.
 type Admitter struct {
 	lanes map[Lane]*lane
 }
 
-// New returns an Admitter that lets everything in.
+// New returns an Admitter that admits all calls until some begin late.
 func New() *Admitter {
 	return &Admitter{lanes: make(map[Lane]*lane)}
 }
 
-// Admit says whether a call of a customer goes into a lane in which it should begin
-// within a time. When it does not, the ticket is nil.
+// Admit decides whether a call of a customer is admitted to a lane, where its answer should
+// begin within the given time. It returns nil if the call is not admitted.
 //
-// A surge of one customer must not make the calls of the others late: the part of the
-// calls that is let in is divided between the customers max-min fair, so that those
-// with few calls have all of them in and the surge is cut.
+// A surge of one customer must not make the calls of the others late: the admitted share
+// is divided between the customers by max-min fairness, so that all calls of customers with
+// few calls are admitted and the surge is limited.
 func (a *Admitter) Admit(now time.Time, l Lane, id uint32, within time.Duration) *Ticket {
 	x := a.lane(now, l)
-	x.settle(now)
+	x.adjust(now)
 
 	c, ok := x.customers[id]
 	if !ok {
-		c = &customer{part: 1}
+		c = &customer{fraction: 1}
 		x.customers[id] = c
 	}
 
 	c.calls++
-	c.credit += c.part
+	c.credit += c.fraction
 
 	if c.credit < 1 {
 		return nil
@@ -112,14 +114,15 @@
 
 	c.credit--
 
-	t := &Ticket{lane: x, due: now.Add(within), cuts: x.cuts}
+	t := &Ticket{lane: x, due: now.Add(within), decreases: x.decreases}
 	heap.Push(&x.pending, t)
 
 	return t
 }
 
-// Began notes that a call has begun, in time or not.
-func (a *Admitter) Began(now time.Time, t *Ticket) {
+// RecordStart records that the answer to a call has begun, in time or not. A nil ticket is
+// ignored.
+func (a *Admitter) RecordStart(now time.Time, t *Ticket) {
 	if t == nil || t.done {
 		return
 	}
@@ -127,15 +130,17 @@
 	t.lane.count(t, !now.After(t.due))
 }
 
-// Ended notes that a call is over. One that had not begun says nothing: it failed, or
-// its caller left, before it was due.
-func (a *Admitter) Ended(t *Ticket) {
+// RecordEnd records that a call is over. If its answer had not begun and was not yet due, the
+// call counts neither as in time nor as late: it failed, or its caller disconnected. A nil
+// ticket is ignored.
+func (a *Admitter) RecordEnd(t *Ticket) {
 	if t != nil {
 		t.done = true
 	}
 }
 
-// Share returns the part of its calls that a lane lets in, from 0 to 1.
+// Share returns the fraction of a lane's calls that is admitted, from 0 to 1. It is 1 for a
+// lane without calls so far.
 func (a *Admitter) Share(l Lane) float64 {
 	if x, ok := a.lanes[l]; ok {
 		return x.share
@@ -147,39 +152,40 @@
 func (a *Admitter) lane(now time.Time, l Lane) *lane {
 	x, ok := a.lanes[l]
 	if !ok {
-		x = &lane{share: 1, customers: make(map[uint32]*customer), settled: now}
+		x = &lane{share: 1, customers: make(map[uint32]*customer), adjusted: now}
 		a.lanes[l] = x
 	}
 
 	return x
 }
 
-// settle judges the lane when it is time, and divides it anew.
-func (l *lane) settle(now time.Time) {
-	l.overdue(now)
+// adjust raises or lowers the lane's share when an adjustment is due, and allocates it to
+// the customers.
+func (l *lane) adjust(now time.Time) {
+	l.expireOverdue(now)
 
-	d := now.Sub(l.settled)
+	d := now.Sub(l.adjusted)
 	n := l.hits + l.misses
 
-	if d < settleEvery || n < leastKnown && d < settleMost {
+	if d < adjustInterval || n < minSample && d < maxAdjustInterval {
 		return
 	}
 
 	switch {
-	case float64(l.misses) > missMost*float64(n):
-		l.share = max(l.share*cut, leastShare)
-		l.cuts++
+	case float64(l.misses) > maxMissRate*float64(n):
+		l.share = max(l.share*decreaseFactor, minShare)
+		l.decreases++
 	default:
-		l.share = min(l.share+raise, 1)
+		l.share = min(l.share+increaseStep, 1)
 	}
 
-	l.hits, l.misses, l.settled = 0, 0, now
-	l.divide(d)
+	l.hits, l.misses, l.adjusted = 0, 0, now
+	l.allocate(d)
 }
 
-// overdue counts the calls that should have begun and have not. To wait until they
-// have would show a queue only when it is as long as they wait.
-func (l *lane) overdue(now time.Time) {
+// expireOverdue counts calls as late once their objective has passed. Counting them only
+// when their answers begin would detect a queue only after calls had waited through it.
+func (l *lane) expireOverdue(now time.Time) {
 	for len(l.pending) > 0 {
 		t := l.pending[0]
 		if !t.done && !now.After(t.due) {
@@ -194,14 +200,14 @@
 	}
 }
 
-// count takes what became of a call. Those that were let in before the last cut tell
-// of the lane as it was then; counted, they would cut it again and again until next
-// to nothing is let in.
+// count records whether a call began in time. Calls admitted before the last decrease are
+// ignored, since they reflect the earlier share: counting them would repeat the decrease
+// until almost no call is admitted.
 func (l *lane) count(t *Ticket, inTime bool) {
 	t.done = true
 
 	switch {
-	case t.cuts != l.cuts:
+	case t.decreases != l.decreases:
 	case inTime:
 		l.hits++
 	default:
@@ -209,11 +215,11 @@
 	}
 }
 
-// divide shares the lane out between its customers, by their calls of the last
-// second; d is the time since it was last done.
-func (l *lane) divide(d time.Duration) {
+// allocate divides the lane's share between its customers by their call rates of the last
+// second; d is the time since the last adjustment.
+func (l *lane) allocate(d time.Duration) {
 	w := min(float64(d)/float64(rateWindow), 1)
-	all := 0.0
+	total := 0.0
 
 	var x []allocator.Demand
 
@@ -221,45 +227,45 @@
 		c.rate += w * (float64(c.calls)/d.Seconds() - c.rate)
 		c.calls = 0
 
-		if c.rate*rateWindow.Seconds() < leastShare {
+		if c.rate*rateWindow.Seconds() < minShare {
 			delete(l.customers, id)
 
 			continue
 		}
 
-		all += c.rate
+		total += c.rate
 		x = append(x, allocator.Demand{Work: c.rate, Weight: 1})
 	}
 
-	most := math.Inf(1)
+	level := math.Inf(1)
 	if l.share < 1 {
-		most = allocator.Level(x, l.share*all)
+		level = allocator.Level(x, l.share*total)
 	}
 
 	for _, c := range l.customers {
-		c.part = min(most/c.rate, 1)
+		c.fraction = min(level/c.rate, 1)
 	}
 }
 
-// tickets is a heap with the earliest due first.
+// tickets is a min-heap by due time.
 type tickets []*Ticket
 
-// Len is part of heap.Interface.
+// Len implements heap.Interface.
 func (t tickets) Len() int { return len(t) }
 
-// Less is part of heap.Interface.
+// Less implements heap.Interface.
 func (t tickets) Less(a, b int) bool { return t[a].due.Before(t[b].due) }
 
-// Swap is part of heap.Interface.
+// Swap implements heap.Interface.
 func (t tickets) Swap(a, b int) { t[a], t[b] = t[b], t[a] }
 
-// Push is part of heap.Interface.
+// Push implements heap.Interface.
 func (t *tickets) Push(x any) {
 	k, _ := x.(*Ticket)
 	*t = append(*t, k)
 }
 
-// Pop is part of heap.Interface.
+// Pop implements heap.Interface.
 func (t *tickets) Pop() any {
 	o := *t
 	k := o[len(o)-1]
--- a/internal/admitter/admitter_test.go
+++ b/internal/admitter/admitter_test.go
@@ -13,36 +13,37 @@
 )
 
 const (
-	// The model is an engine with 64 slots whose calls take 2.5 s on average: it begins
-	// 26 a second.
-	slots    = 64
-	service  = 2500 * time.Millisecond
-	capacity = float64(slots) / 2.5
-	aim      = 300 * time.Millisecond
-	// patience is how long callers wait for an answer to begin.
-	patience = 2 * time.Second
+	// The simulated engine has 64 slots and its calls take 2.5 s on average, so that it
+	// begins 26 calls per second.
+	slots     = 64
+	service   = 2500 * time.Millisecond
+	capacity  = float64(slots) / 2.5
+	objective = 300 * time.Millisecond
+	// callerTimeout is how long callers wait for an answer to begin.
+	callerTimeout = 2 * time.Second
 )
 
-// load is how many calls a second come from each customer until a time.
+// load is the call rate per second of each customer until the given time.
 type load struct {
 	until time.Duration
 	rates map[uint32]float64
 }
 
-// job is a call at the engine.
+// job is a call that arrived at the engine.
 type job struct {
 	customer uint32
-	came     time.Time
+	arrived  time.Time
 	ticket   *admitter.Ticket
 	late     bool
 }
 
-// outcome counts what became of the calls.
-type outcome struct{ calls, inTime, late, left, refused int }
+// outcome counts calls by their result.
+type outcome struct{ calls, inTime, late, disconnected, refused int }
 
-// play runs loads against the engine, which begins the calls of the first lane
-// first, each lane in the order in which calls came.
-func play(loads []load, use bool) map[uint32]*outcome {
+// simulate runs loads against the engine, which begins the calls of the first lane before
+// those of the second, and each lane in the order of arrival. It uses an Admitter if use is
+// set, and otherwise one lane.
+func simulate(loads []load, use bool) map[uint32]*outcome {
 	const step = 5 * time.Millisecond
 
 	var (
@@ -58,9 +59,9 @@
 	begin := func(j job) {
 		running = append(running, now.Add(time.Duration(r.ExpFloat64()*float64(service))))
 		slices.SortFunc(running, time.Time.Compare)
-		a.Began(now, j.ticket)
+		a.RecordStart(now, j.ticket)
 
-		if now.Sub(j.came) <= aim {
+		if now.Sub(j.arrived) <= objective {
 			o[j.customer].inTime++
 		} else {
 			o[j.customer].late++
@@ -84,12 +85,12 @@
 			}
 
 			o[c].calls++
-			j := job{customer: c, came: now}
+			j := job{customer: c, arrived: now}
 
 			if use {
-				j.ticket = a.Admit(now, admitter.Lane{Group: "g"}, c, aim)
+				j.ticket = a.Admit(now, admitter.Lane{Group: "g"}, c, objective)
 				if j.late = j.ticket == nil; j.late {
-					if j.ticket = a.Admit(now, admitter.Lane{Group: "g", Late: true}, c, patience); j.ticket == nil {
+					if j.ticket = a.Admit(now, admitter.Lane{Group: "g", Late: true}, c, callerTimeout); j.ticket == nil {
 						o[c].refused++
 
 						continue
@@ -112,14 +113,14 @@
 		for n := range lanes {
 			for len(lanes[n]) > 0 {
 				j := lanes[n][0]
-				left := now.Sub(j.came) > patience
-				if !left && len(running) >= slots {
+				timedOut := now.Sub(j.arrived) > callerTimeout
+				if !timedOut && len(running) >= slots {
 					break
 				}
 
-				if left {
-					o[j.customer].left++
-					a.Ended(j.ticket)
+				if timedOut {
+					o[j.customer].disconnected++
+					a.RecordEnd(j.ticket)
 				} else {
 					begin(j)
 				}
@@ -149,19 +150,18 @@
 		t.calls += x.calls
 		t.inTime += x.inTime
 		t.late += x.late
-		t.left += x.left
+		t.disconnected += x.disconnected
 		t.refused += x.refused
 	}
 
 	return t
 }
 
-func part(n, of int) float64 { return float64(n) / float64(of) }
+func ratio(n, of int) float64 { return float64(n) / float64(of) }
 
-// Users press with one and a half times what the engine can begin, for eight
-// seconds. All wait in one line, and within two seconds every answer begins late,
-// and still does for seconds after. With a lane for those that can be in time, most
-// of what the engine can do is in time.
+// Guards against overload that makes every answer late. For eight seconds, 1.5 times the
+// engine's capacity arrives; in a single queue every answer begins late within two seconds
+// and for seconds afterwards. With lanes, most calls within the capacity are in time.
 func TestOverload(t *testing.T) {
 	i := is.New(t)
 	l := []load{
@@ -169,41 +169,42 @@
 		{12 * time.Second, map[uint32]float64{1: 1.5 * capacity}},
 		{20 * time.Second, map[uint32]float64{1: 0.5 * capacity}},
 	}
-	without, with := total(play(l, false)), total(play(l, true))
+	without, with := total(simulate(l, false)), total(simulate(l, true))
 
-	i.True(part(without.inTime, without.calls) < 0.5) // 206 of 431.
-	i.True(part(with.inTime, with.calls) > 0.68)      // 302 of 429; it can begin 0.8 of them.
-	i.True(part(with.left, with.calls) < 0.1)
+	i.True(ratio(without.inTime, without.calls) < 0.5) // 206 of 431.
+	i.True(ratio(with.inTime, with.calls) > 0.68)      // 302 of 429; the engine can begin 0.8 of them.
+	i.True(ratio(with.disconnected, with.calls) < 0.1)
 }
 
-// One customer sends eight times its usual. The calls of the others, which the engine
-// could all begin in time, wait behind its own. Once the line is seen, they go ahead.
+// Guards against one customer's surge, eight times its usual rate, that makes the calls of
+// the others late, all of which the engine could begin in time. Once the queue is detected,
+// the calls of the others are sent ahead.
 func TestSurgeOfOneCustomer(t *testing.T) {
 	i := is.New(t)
 	c := func(x float64) map[uint32]float64 {
 		return map[uint32]float64{1: x * 0.15 * capacity, 2: 0.15 * capacity, 3: 0.15 * capacity, 4: 0.15 * capacity}
 	}
 	l := []load{{4 * time.Second, c(1)}, {14 * time.Second, c(8)}}
-	without, with := play(l, false), play(l, true)
+	without, with := simulate(l, false), simulate(l, true)
 
 	for _, k := range []uint32{2, 3, 4} {
-		i.True(part(without[k].inTime, without[k].calls) < 0.45)
-		i.True(part(with[k].inTime, with[k].calls) > 0.65)
+		i.True(ratio(without[k].inTime, without[k].calls) < 0.45)
+		i.True(ratio(with[k].inTime, with[k].calls) > 0.65)
 	}
 
-	i.True(with[1].inTime > without[1].inTime) // It has what the others leave.
+	i.True(with[1].inTime > without[1].inTime) // It receives the remaining capacity.
 }
 
-// While targets begin all calls in time, none is put behind.
-func TestCalm(t *testing.T) {
+// All calls are admitted while targets begin them in time.
+func TestNormalLoad(t *testing.T) {
 	i := is.New(t)
-	o := total(play([]load{{30 * time.Second, map[uint32]float64{1: 0.5 * capacity, 2: 0.2 * capacity}}}, true))
+	o := total(simulate([]load{{30 * time.Second, map[uint32]float64{1: 0.5 * capacity, 2: 0.2 * capacity}}}, true))
 
 	i.Equal(o.inTime, o.calls)
 }
 
-// After the surge everything is let in again.
-func TestShareComesBack(t *testing.T) {
+// All calls are admitted again after a surge.
+func TestShareRecovers(t *testing.T) {
 	i := is.New(t)
 	a := admitter.New()
 	l := admitter.Lane{Group: "g"}
@@ -211,15 +212,15 @@
 
 	for range 300 {
 		now = now.Add(10 * time.Millisecond)
-		a.Admit(now, l, 1, aim)
+		a.Admit(now, l, 1, objective)
 	}
 
-	i.True(a.Share(l) < 0.3) // None has begun.
+	i.True(a.Share(l) < 0.3) // No call has begun.
 
 	for range 1000 {
 		now = now.Add(10 * time.Millisecond)
-		k := a.Admit(now, l, 1, aim)
-		a.Began(now.Add(time.Millisecond), k)
+		k := a.Admit(now, l, 1, objective)
+		a.RecordStart(now.Add(time.Millisecond), k)
 	}
 
 	i.Equal(a.Share(l), 1.0)
--- a/internal/bencher/exchange.go
+++ b/internal/bencher/exchange.go
@@ -92,7 +92,7 @@
 
 		m := wire.HandOver{Cell: c.ID}
 		for _, p := range h.granter(c, w.routers[i].id).ChangedPlacements(128, 16) { //nolint:mnd // As the routers do.
-			h.granter(c, w.routers[j].id).RecordPlacement(epoch.Add(w.now), p.Chat, p.Place)
+			h.granter(c, w.routers[j].id).RecordPlacement(epoch.Add(w.now), p.Chat, p.Placement)
 			m.Places = append(m.Places, wire.Place{Chat: p.Chat, Target: p.Target, Tokens: uint32(p.Tokens)}) //nolint:gosec // Not negative.
 		}
 
@@ -119,7 +119,7 @@
 
 		p, next := x.from.Placements().Scan(x.at, 2048) //nolint:mnd // As the routers do.
 		for _, c := range p {
-			g.RecordPlacement(epoch.Add(w.now), c.Chat, c.Place)
+			g.RecordPlacement(epoch.Add(w.now), c.Chat, c.Placement)
 		}
 
 		if x.at = next; next > 0 {
--- a/internal/bencher/homes.go
+++ b/internal/bencher/homes.go
@@ -97,7 +97,7 @@
 			break
 		}
 
-		if i > 0 && t != 0 && c.Holds(t) {
+		if i > 0 && t != 0 && c.Contains(t) {
 			copy(l[1:i+1], l[:i])
 			l[0] = c
 		}
--- a/internal/budgeter/budgeter.go
+++ b/internal/budgeter/budgeter.go
@@ -1,24 +1,25 @@
-// Package budgeter holds an instance's part of the fleet's budget for sending
-// calls again.
+// Package budgeter limits the repeated attempts of an instance to its share of the fleet's
+// budget.
 package budgeter
 
 import "time"
 
-// Settings bounds the repeats of the whole fleet towards one group of targets.
+// Settings bounds the repeats of the whole fleet to one group of targets.
 type Settings struct {
-	// Ratio is how many repeats there may be for each call.
+	// Ratio is the number of repeats allowed per call.
 	Ratio float64
-	// Window is the time over which both are counted.
+	// Window is the sliding window over which calls and repeats are counted.
 	Window time.Duration
-	// Slack is how many repeats there may be besides, for all instances together.
+	// Slack is the number of additional repeats per window, for all instances together.
 	Slack float64
 }
 
 const (
-	// reserve is the part of the budget that is used. The rest covers the
-	// instances that were lost with calls counted, and windows that slide.
-	reserve = 0.7
-	// buckets is how many parts a window is counted in.
+	// usableFraction is the fraction of the budget that is used. The remainder is the margin
+	// for instances that fail after having counted calls, and for the resolution of the
+	// sliding window.
+	usableFraction = 0.7
+	// buckets is the number of buckets of a window.
 	buckets = 10
 )
 
@@ -28,7 +29,8 @@
 	repeats int
 }
 
-type account struct {
+// window holds the buckets of one group, by index modulo their number.
+type window struct {
 	buckets [buckets]bucket
 }
 
@@ -36,50 +38,50 @@
 type Budgeter struct {
 	settings Settings
 	start    time.Time
-	accounts map[string]*account
+	windows  map[string]*window
 }
 
-// New returns a Budgeter that counts from a time on.
+// New returns a Budgeter whose buckets are aligned to the start time.
 func New(s Settings, start time.Time) *Budgeter {
-	return &Budgeter{settings: s, start: start, accounts: make(map[string]*account)}
+	return &Budgeter{settings: s, start: start, windows: make(map[string]*window)}
 }
 
-// Set replaces the settings. Another window begins its counts anew: those of the
-// old one do not fit its buckets.
+// Set replaces the settings. A change of the window resets the counts, since the buckets of
+// the previous window have another duration.
 func (b *Budgeter) Set(s Settings) {
 	if s.Window != b.settings.Window {
-		clear(b.accounts)
+		clear(b.windows)
 	}
 
 	b.settings = s
 }
 
-// Call counts a call towards a group.
-func (b *Budgeter) Call(now time.Time, group string) {
-	b.at(now, group).calls++
+// RecordCall counts a call to a group.
+func (b *Budgeter) RecordCall(now time.Time, group string) {
+	b.currentBucket(now, group).calls++
 }
 
-// Repeat says whether one more repeat fits when so many instances share the
-// budget, and counts it if so.
+// TryRepeat reports whether the budget, shared by the given number of instances, allows another
+// repeat, and counts it if so.
 //
-// When targets fail, every instance wants to send again at the same moment; the
-// load on those that are left would multiply. Each instance holds to its own
-// calls and its part of the slack, so no agreement is needed, and instances that
-// are lost take their part with them.
-func (b *Budgeter) Repeat(now time.Time, group string, instances int) bool {
-	if !b.Room(now, group, instances) {
+// When targets fail, all instances would repeat calls at the same time and multiply the load
+// on the remaining targets. Each instance is limited by its own calls and its share of the
+// slack, so that instances need no coordination, and the share of a failed instance remains
+// unused.
+func (b *Budgeter) TryRepeat(now time.Time, group string, instances int) bool {
+	if !b.CanRepeat(now, group, instances) {
 		return false
 	}
 
-	b.at(now, group).repeats++
+	b.currentBucket(now, group).repeats++
 
 	return true
 }
 
-// Room says whether one more repeat fits, and does not count it.
-func (b *Budgeter) Room(now time.Time, group string, instances int) bool {
+// CanRepeat reports whether the budget allows another repeat, without counting it.
+func (b *Budgeter) CanRepeat(now time.Time, group string, instances int) bool {
 	c, r := b.sum(now, group)
-	n := reserve * (b.settings.Ratio*float64(c) + b.settings.Slack/float64(max(instances, 1)))
+	n := usableFraction * (b.settings.Ratio*float64(c) + b.settings.Slack/float64(max(instances, 1)))
 
 	return float64(r+1) <= n
 }
@@ -88,12 +90,12 @@
 	return int64(now.Sub(b.start) / max(b.settings.Window/buckets, 1))
 }
 
-// at returns the bucket of the present.
-func (b *Budgeter) at(now time.Time, group string) *bucket {
-	a, ok := b.accounts[group]
+// currentBucket returns the bucket of a group for the present time.
+func (b *Budgeter) currentBucket(now time.Time, group string) *bucket {
+	a, ok := b.windows[group]
 	if !ok {
-		a = &account{}
-		b.accounts[group] = a
+		a = &window{}
+		b.windows[group] = a
 	}
 
 	i := b.index(now)
@@ -106,9 +108,9 @@
 	return x
 }
 
-// sum returns the calls and repeats of the window that ends now.
+// sum returns the calls and repeats to a group in the window that ends now.
 func (b *Budgeter) sum(now time.Time, group string) (calls, repeats int) {
-	a, ok := b.accounts[group]
+	a, ok := b.windows[group]
 	if !ok {
 		return 0, 0
 	}
--- a/internal/budgeter/budgeter_test.go
+++ b/internal/budgeter/budgeter_test.go
@@ -12,11 +12,10 @@
 
 var settings = budgeter.Settings{Ratio: 0.2, Window: 10 * time.Second, Slack: 52}
 
-// A user would see a service that is down for a moment stay down: all instances
-// send every call again at the same time. Here all calls of six instances, with
-// uneven shares, fail and want a repeat for forty seconds; in no window may the
-// fleet send more repeats than its budget.
-func TestFleetKeepsTheBudgetInEveryWindow(t *testing.T) {
+// Guards against a retry storm that keeps a service down after a short failure: all
+// instances repeat every call at the same time. For forty seconds all calls of six instances
+// with uneven shares fail; in no window may the fleet send more repeats than its budget.
+func TestFleetStaysWithinBudget(t *testing.T) {
 	is := is.New(t)
 	b := time.Unix(0, 0)
 	r := rand.New(rand.NewPCG(1, 2))
@@ -47,10 +46,10 @@
 		}
 
 		x := l[min(r.IntN(8), 5)]
-		x.Call(n, "g")
+		x.RecordCall(n, "g")
 
 		all = append(all, event{at: n})
-		if x.Repeat(n, "g", len(l)) {
+		if x.TryRepeat(n, "g", len(l)) {
 			all = append(all, event{at: n, repeat: true})
 		}
 	}
@@ -76,23 +75,23 @@
 		is.True(float64(again) <= settings.Ratio*float64(calls)+settings.Slack)
 	}
 
-	is.True(repeats > 100) // The budget is used and not only kept.
+	is.True(repeats > 100) // The budget is used, not only respected.
 }
 
 func TestRepeatWithoutCalls(t *testing.T) {
 	for name, x := range map[string]struct {
 		instances, want int
 	}{
-		"six share the slack":     {6, 6},
-		"seventy have none alone": {70, 0},
-		"nobody is one":           {0, 36},
+		"six instances share the slack":           {6, 6},
+		"share of seventy instances is too small": {70, 0},
+		"zero instances count as one":             {0, 36},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			b := budgeter.New(settings, time.Unix(0, 0))
 			n := 0
 
-			for b.Repeat(time.Unix(1, 0), "g", x.instances) {
+			for b.TryRepeat(time.Unix(1, 0), "g", x.instances) {
 				n++
 			}
 
@@ -101,24 +100,24 @@
 	}
 }
 
-func TestGroupsDoNotShare(t *testing.T) {
+func TestGroupsHaveSeparateBudgets(t *testing.T) {
 	is := is.New(t)
 	n := time.Unix(1, 0)
 	b := budgeter.New(settings, time.Unix(0, 0))
 
-	for b.Repeat(n, "a", 6) {
+	for b.TryRepeat(n, "a", 6) {
 	}
 
-	is.True(b.Repeat(n, "b", 6))
-	is.True(!b.Repeat(n.Add(9*time.Second), "a", 6))
-	is.True(b.Repeat(n.Add(11*time.Second), "a", 6))
+	is.True(b.TryRepeat(n, "b", 6))
+	is.True(!b.TryRepeat(n.Add(9*time.Second), "a", 6))
+	is.True(b.TryRepeat(n.Add(11*time.Second), "a", 6))
 }
 
-// A window so short that a part of it is no time at all made the first call panic with a
-// division by zero, and every later one wait for the lock that it had held.
-func TestWindowOfNoTime(t *testing.T) {
+// Guards against a division by zero for windows so short that a bucket lasts 0 ns. The first
+// call panicked, and all later ones waited for the lock that it held.
+func TestWindowShorterThanBuckets(t *testing.T) {
 	now := time.Unix(0, 0)
 	b := budgeter.New(budgeter.Settings{Ratio: 0.2, Window: time.Nanosecond, Slack: 100}, now)
-	b.Call(now.Add(time.Second), "g")
-	is.New(t).True(b.Repeat(now.Add(time.Second), "g", 1))
+	b.RecordCall(now.Add(time.Second), "g")
+	is.New(t).True(b.TryRepeat(now.Add(time.Second), "g", 1))
 }
--- a/internal/drainer/drainer.go
+++ b/internal/drainer/drainer.go
@@ -1,4 +1,4 @@
-// Package drainer decides what a router does with new requests while it stops.
+// Package drainer decides how a router handles new requests during a graceful shutdown.
 package drainer
 
 import (
@@ -6,33 +6,33 @@
 	"time"
 )
 
-// Phase is where a planned stop stands.
+// Phase is the phase of a shutdown.
 type Phase int
 
 // The phases, in their order.
 const (
-	// Serving is no stop.
+	// Serving means that no shutdown is in progress.
 	Serving Phase = iota
-	// Noticed shows as not ready, so that the balancer sends no more; what
-	// still comes is served.
-	Noticed
-	// Refusing answers new requests that they were not run.
+	// NotReady means that the router reports not ready, so that the load balancer stops
+	// sending requests. Requests that still arrive are served.
+	NotReady
+	// Refusing means that new requests are refused as not run.
 	Refusing
-	// Done means that the last request has ended and no more come.
+	// Done means that the last request has ended and no new ones arrive.
 	Done
 )
 
 const (
-	// quietMost is how long no request may have come before the end. It is
-	// shorter where the notice is.
-	quietMost = time.Second
-	// lingerParts is for how many notices a stop waits for that, where callers
-	// send on to a router that shows not ready.
-	lingerParts = 10
+	// maxQuietPeriod is the time without new requests that ends a shutdown. A shorter
+	// notice period is used instead.
+	maxQuietPeriod = time.Second
+	// maxLingerPeriods is the number of notice periods after which a shutdown without requests
+	// in progress ends although callers still send requests to the router.
+	maxLingerPeriods = 10
 )
 
-// Drainer counts the requests in progress and follows a planned stop. It is
-// safe for concurrent use.
+// Drainer counts the requests in progress and holds the phase of a shutdown. It is safe for
+// concurrent use.
 type Drainer struct {
 	notice time.Duration
 
@@ -45,15 +45,15 @@
 	done    chan struct{}
 }
 
-// New returns a Drainer that serves up to a limit of requests at a time. The
-// notice is how long a stop waits for the balancer.
+// New returns a Drainer that admits up to limit concurrent requests. The notice is the period
+// for which a shutdown waits for the load balancer to stop sending requests.
 func New(notice time.Duration, limit int) *Drainer {
 	return &Drainer{notice: notice, limit: limit, done: make(chan struct{})}
 }
 
-// Enter counts a request in and says whether it may be served. A request that
-// entered is always waited for: counting and refusing are one step, or a stop
-// could end between them and cut the request that had just been let in.
+// Enter reports whether a request may be served, and counts it if so. The check and the count
+// are atomic: otherwise a shutdown could complete between them and interrupt the request that
+// had just been admitted. Each admitted request must call Exit.
 func (d *Drainer) Enter(now time.Time) (Phase, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -69,7 +69,7 @@
 	return d.phase, true
 }
 
-// Exit counts a request out.
+// Exit records that an admitted request has ended.
 func (d *Drainer) Exit() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -77,7 +77,7 @@
 	d.running--
 }
 
-// Ready says whether the balancer should send requests.
+// Ready reports whether the load balancer should send requests.
 func (d *Drainer) Ready() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -93,33 +93,33 @@
 	return d.running
 }
 
-// Notice begins a stop.
-func (d *Drainer) Notice(now time.Time) {
+// StartShutdown starts a shutdown. Further calls have no effect.
+func (d *Drainer) StartShutdown(now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
 	if d.phase == Serving {
-		d.phase = Noticed
+		d.phase = NotReady
 		d.since = now
 	}
 }
 
-// Advance moves on when it is time, and returns the phase.
+// Advance enters the next phase when it is due, and returns the phase.
 //
-// The instant in which the listener closes can't be told to callers: a request
-// on its way then gets its connection reset, without an answer. So a stop goes
-// on answering until none has come for a while, which a balancer that noticed
-// makes soon true.
+// Callers cannot know when the listener closes: the connection of a request in flight is
+// then reset without an answer. A shutdown therefore continues to answer requests until none
+// has arrived for the quiet period, which follows soon after the load balancer has detected
+// that the router is not ready.
 func (d *Drainer) Advance(now time.Time) Phase {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
-	if d.phase == Noticed && now.Sub(d.since) >= d.notice {
+	if d.phase == NotReady && now.Sub(d.since) >= d.notice {
 		d.phase = Refusing
 		d.since = now
 	}
 
-	if d.phase == Refusing && d.running == 0 && (d.quiet(now) || now.Sub(d.since) >= lingerParts*d.notice) {
+	if d.phase == Refusing && d.running == 0 && (d.quiet(now) || now.Sub(d.since) >= maxLingerPeriods*d.notice) {
 		d.phase = Done
 		close(d.done)
 	}
@@ -127,12 +127,12 @@
 	return d.phase
 }
 
-// quiet says that no request came for a while.
+// quiet reports whether no request has arrived for the quiet period.
 func (d *Drainer) quiet(now time.Time) bool {
-	return now.Sub(d.arrived) >= min(d.notice, quietMost)
+	return now.Sub(d.arrived) >= min(d.notice, maxQuietPeriod)
 }
 
-// Done is closed when the stop has waited for every request.
+// Done returns a channel that is closed when the shutdown enters phase Done.
 func (d *Drainer) Done() <-chan struct{} {
 	return d.done
 }
--- a/internal/drainer/drainer_test.go
+++ b/internal/drainer/drainer_test.go
@@ -11,10 +11,10 @@
 	"github.com/auburntray/auburntray/internal/drainer"
 )
 
-// A router is stopped while a close review streams. First the balancer must see
-// that it is not ready while calls still come and are served; then new calls are
-// refused, and the review runs to its end before the process goes.
-func TestAStopWaitsForWhatIsInProgress(t *testing.T) {
+// Guards against a shutdown that interrupts a request in progress, such as a long stream. The
+// router first reports not ready but still serves new requests, then refuses them, and exits
+// only after all requests in progress have ended.
+func TestShutdownWaitsForRequestsInProgress(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		i := is.New(t)
 		d := drainer.New(3*time.Second, 10)
@@ -22,11 +22,11 @@
 		_, ok := d.Enter(time.Now())
 		i.True(ok)
 
-		d.Notice(time.Now())
+		d.StartShutdown(time.Now())
 		i.True(!d.Ready())
 
 		_, ok = d.Enter(time.Now())
-		i.True(ok) // the balancer has not noticed yet
+		i.True(ok) // the load balancer may still send requests
 
 		time.Sleep(3 * time.Second)
 		i.Equal(d.Advance(time.Now()), drainer.Refusing)
@@ -35,41 +35,41 @@
 		i.True(!ok)
 
 		d.Exit()
-		i.Equal(d.Advance(time.Now()), drainer.Refusing) // one is left
+		i.Equal(d.Advance(time.Now()), drainer.Refusing) // one request is in progress
 
 		time.Sleep(time.Minute)
-		i.Equal(d.Advance(time.Now()), drainer.Refusing) // however long it takes
+		i.Equal(d.Advance(time.Now()), drainer.Refusing) // without a time limit
 		d.Exit()
 		i.Equal(d.Advance(time.Now()), drainer.Done)
 		<-d.Done()
 	})
 }
 
-func TestAnIdleStopIsDoneAfterTheNotice(t *testing.T) {
+func TestIdleShutdownEndsAfterNotice(t *testing.T) {
 	i := is.New(t)
 	d := drainer.New(0, 10)
-	d.Notice(time.Unix(0, 0))
+	d.StartShutdown(time.Unix(0, 0))
 	i.Equal(d.Advance(time.Unix(0, 0)), drainer.Done)
 }
 
-// Callers send on to a router that shows not ready. Closing between two of their
-// requests would reset a connection with a request on its way, so the stop waits
-// until none comes, but not for ever.
-func TestAStopAnswersUntilNoneComes(t *testing.T) {
+// Guards against connection resets when callers continue to send to a router that is not
+// ready. Closing between two of their requests would reset a connection with a request in
+// flight, so a shutdown waits until none arrives, for a bounded time.
+func TestShutdownAnswersUntilQuiet(t *testing.T) {
 	for name, tc := range map[string]struct {
 		every time.Duration
 		least time.Duration
 		most  time.Duration
 	}{
-		"nobody calls":        {time.Hour, 3 * time.Second, 4 * time.Second},
-		"calls go on":         {100 * time.Millisecond, 33 * time.Second, 34 * time.Second},
-		"calls are far apart": {1500 * time.Millisecond, 3 * time.Second, 5 * time.Second},
+		"no requests":       {time.Hour, 3 * time.Second, 4 * time.Second},
+		"frequent requests": {100 * time.Millisecond, 33 * time.Second, 34 * time.Second},
+		"rare requests":     {1500 * time.Millisecond, 3 * time.Second, 5 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
 			d := drainer.New(3*time.Second, 10)
 			start := time.Unix(1000, 0)
-			d.Notice(start)
+			d.StartShutdown(start)
 
 			now := start
 			for d.Advance(now) != drainer.Done {
@@ -98,9 +98,9 @@
 	}
 }
 
-// Calls come while the stop moves on. Counting a call in and refusing it are one
-// step: a call that was let in is always waited for.
-func TestNoCallSlipsThroughAStop(t *testing.T) {
+// Guards against a shutdown that completes while an admitted request is in progress, because
+// the request was admitted during a change of phase.
+func TestShutdownWaitsForConcurrentRequests(t *testing.T) {
 	i := is.New(t)
 	d := drainer.New(0, 1000)
 
@@ -121,7 +121,7 @@
 		})
 	}
 
-	d.Notice(time.Now())
+	d.StartShutdown(time.Now())
 	d.Advance(time.Now())
 	g.Wait()
 	i.Equal(d.Advance(time.Now()), drainer.Done)
--- a/internal/filterer/attempt.go
+++ b/internal/filterer/attempt.go
@@ -100,7 +100,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 
-	a.retrier.Succeed()
+	a.retrier.RecordSuccess()
 }
 
 // awaitRetry waits for the retry delay and reports whether to make another attempt. It is
--- a/internal/filterer/match.go
+++ b/internal/filterer/match.go
@@ -33,7 +33,7 @@
 			"this router has no configuration yet")
 	}
 
-	if !x.Force.Matcher.Known(x.Customer) {
+	if !x.Force.Matcher.HasCustomer(x.Customer) {
 		return exchanger.Refuse(http.StatusForbidden, exchanger.CodeNoCustomer, 0, "customer %q is unknown", x.Customer)
 	}
 
--- a/internal/filterer/pick.go
+++ b/internal/filterer/pick.go
@@ -156,7 +156,7 @@
 	l := x.Force.Matcher.Ranked(x.Rule, p.Region, k)
 
 	for i, y := range l {
-		if i > 0 && y.Region == p.Region && y.Holds(x.Hint) {
+		if i > 0 && y.Region == p.Region && y.Contains(x.Hint) {
 			copy(l[1:i+1], l[:i])
 			l[0] = y
 		}
--- a/internal/forwarder/admit.go
+++ b/internal/forwarder/admit.go
@@ -81,5 +81,5 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
-	f.admitter.Ended(x.ticket)
+	f.admitter.RecordEnd(x.ticket)
 }
--- a/internal/forwarder/attempt.go
+++ b/internal/forwarder/attempt.go
@@ -71,7 +71,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
-	f.budgeter.Call(time.Now(), group)
+	f.budgeter.RecordCall(time.Now(), group)
 }
 
 // finishAttempt ends the count of a call at a target and returns the changes of the targets' health
@@ -111,7 +111,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
-	return f.budgeter.Repeat(time.Now(), x.group, f.state.Instances())
+	return f.budgeter.TryRepeat(time.Now(), x.group, f.state.Instances())
 }
 
 // giveUp returns the final answer to a call that no target has answered.
@@ -309,7 +309,7 @@
 		return
 	}
 
-	f.admitter.Began(n, x.ticket)
+	f.admitter.RecordStart(n, x.ticket)
 
 	if t.Throttled {
 		return
--- a/internal/forwarder/buffered.go
+++ b/internal/forwarder/buffered.go
@@ -113,7 +113,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
-	if t.Usable > 1 && f.budgeter.Room(time.Now(), group, f.state.Instances()) {
+	if t.Usable > 1 && f.budgeter.CanRepeat(time.Now(), group, f.state.Instances()) {
 		stop(errSlow)
 	}
 }
--- a/internal/forwarder/reservation.go
+++ b/internal/forwarder/reservation.go
@@ -7,7 +7,7 @@
 	"github.com/auburntray/auburntray/internal/aggregator"
 	"github.com/auburntray/auburntray/internal/enroller"
 	"github.com/auburntray/auburntray/internal/reserver"
-	"github.com/auburntray/auburntray/internal/seeker"
+	"github.com/auburntray/auburntray/internal/searcher"
 	"github.com/auburntray/auburntray/internal/selector"
 )
 
@@ -68,10 +68,10 @@
 // The local state of a target may be a second old. If its home node reports that the target is full
 // or excluded, that is recorded and another target is selected.
 func (f *Forwarder) choose(c context.Context, x *exchange) (selector.Choice, bool) {
-	s := seeker.Seeker{Prompt: len(x.sharedPrefixes) > 0}
+	s := searcher.Searcher{Prompt: len(x.sharedPrefixes) > 0}
 
 	for {
-		t, ok := f.pick(x, s.Full())
+		t, ok := f.pick(x, s.FullCount())
 		if !ok {
 			return t, false
 		}
@@ -85,13 +85,13 @@
 		}
 
 		n := s.Next(x.reservation.verdict.Outcome)
-		if n == seeker.Take {
+		if n == searcher.Send {
 			return t, true
 		}
 
 		f.decline(t, x.reservation.verdict)
 
-		if n == seeker.Refuse {
+		if n == searcher.Refuse {
 			x.targetsFull = true
 
 			return t, false
@@ -125,7 +125,7 @@
 
 // reserve requests a slot from the home node of a target. No slot is needed at a target that does
 // not report its number of slots, since the home node has no bound to enforce.
-func (f *Forwarder) reserve(c context.Context, x *exchange, t selector.Choice, s *seeker.Seeker) {
+func (f *Forwarder) reserve(c context.Context, x *exchange, t selector.Choice, s *searcher.Searcher) {
 	x.reservation = reservation{}
 
 	if f.reserver == nil || t.Target.Slots == 0 {
@@ -133,7 +133,7 @@
 	}
 
 	x.reservation.verdict, x.reservation.release = f.reserver.Reserve(c, t.Target, aggregator.Request{
-		MaxCalls: s.Most(t.Bound), Deadline: x.deadline, MedianLatency: t.MedianPace, AllowExcluded: s.Anyway(),
+		MaxCalls: s.MaxCalls(t.Bound), Deadline: x.deadline, MedianLatency: t.MedianPace, AllowExcluded: s.AllowExcluded(),
 	})
 	f.meter.Reserved(x.group, x.reservation.verdict.Outcome.String())
 
--- a/internal/gatekeeper/stop.go
+++ b/internal/gatekeeper/stop.go
@@ -28,7 +28,7 @@
 	c, stop := context.WithTimeout(c, max(time.Duration(g.stopTimeout.Load())-stopMargin, stopMargin))
 	defer stop()
 
-	g.drainer.Notice(time.Now())
+	g.drainer.StartShutdown(time.Now())
 	g.forwarder.Stop()
 	logrus.WithFields(logrus.Fields{"event": "stopping", "name": g.settings.Name, "running": g.drainer.Running()}).Info()
 
--- a/internal/granter/choose.go
+++ b/internal/granter/choose.go
@@ -42,12 +42,12 @@
 		}
 
 		c = append(c, picker.Candidate{
-			ID:      t.ID,
-			Weight:  float64(t.Capacity),
-			Load:    l,
-			Counted: !o,
-			Gone:    o,
-			Out:     o || r >= t.Capacity,
+			ID:          t.ID,
+			Weight:      float64(t.Capacity),
+			Load:        l,
+			Counted:     !o,
+			Excluded:    o,
+			Unavailable: o || r >= t.Capacity,
 		})
 	}
 
@@ -102,7 +102,7 @@
 	if !ok {
 		// The hint replaces placements lost with a former home. It has no prefix length, so the
 		// prompt counts as uncached.
-		p = placer.Place{Target: a.Hint}
+		p = placer.Placement{Target: a.Hint}
 	}
 
 	for i, t := range g.targets {
@@ -151,7 +151,7 @@
 	g.start(now, Grant{ID: a.ID, Target: t.ID, Customer: a.Customer, Work: w}, a.Weight)
 
 	if a.Chat != 0 && t.Engine {
-		g.storePlacement(now, a.Chat, placer.Place{Target: t.ID, Tokens: a.Prompt})
+		g.storePlacement(now, a.Chat, placer.Placement{Target: t.ID, Tokens: a.Prompt})
 	}
 }
 
@@ -159,7 +159,7 @@
 // through the scan of all placements, see Granter.ChangedPlacements.
 const maxChangedChats = 8192
 
-func (g *Granter) storePlacement(now time.Time, chat uint64, p placer.Place) {
+func (g *Granter) storePlacement(now time.Time, chat uint64, p placer.Placement) {
 	o, ok := g.placements.Get(chat)
 	g.placements.Put(now, chat, p)
 
--- a/internal/granter/granter.go
+++ b/internal/granter/granter.go
@@ -127,13 +127,13 @@
 
 	w := g.work(a.Prompt)
 	r := picker.Request{
-		Chat:      a.Chat,
-		Customer:  a.Customer,
-		Share:     g.allocator.Share(a.Customer),
-		Place:     p,
-		Work:      w,
-		PlaceWork: g.work(max(a.Prompt-h, 0)),
-		OtherLoad: x, OtherWeight: y,
+		Chat:          a.Chat,
+		Customer:      a.Customer,
+		Share:         g.allocator.Share(a.Customer),
+		Placement:     p,
+		Work:          w,
+		PlacementWork: g.work(max(a.Prompt-h, 0)),
+		OtherLoad:     x, OtherWeight: y,
 	}
 
 	i := picker.Pick(g.settings.Picker, r, c)
@@ -141,7 +141,7 @@
 		return g.refuse(Full)
 	}
 
-	if i != p && p != picker.NoTarget && !c[p].Gone && g.worthWaiting(a, h) {
+	if i != p && p != picker.NoTarget && !c[p].Excluded && g.worthWaiting(a, h) {
 		return Verdict{Reason: Wait, RetryAfter: retryInterval}
 	}
 
@@ -150,7 +150,7 @@
 	}
 
 	if i == p {
-		w = r.PlaceWork
+		w = r.PlacementWork
 	}
 
 	g.grant(now, a, g.targets[i], w)
@@ -234,7 +234,7 @@
 
 // RecordPlacement records a placement received from the cell's former home. A placement that this Granter
 // may have made itself is newer and remains.
-func (g *Granter) RecordPlacement(now time.Time, chat uint64, p placer.Place) {
+func (g *Granter) RecordPlacement(now time.Time, chat uint64, p placer.Placement) {
 	if len(g.grants) > 0 {
 		if _, ok := g.placements.Get(chat); ok {
 			return
@@ -254,7 +254,7 @@
 
 	for _, c := range g.changedChats[:k] {
 		if p, ok := g.placements.Get(c); ok {
-			o = append(o, placer.Chat{Chat: c, Place: p})
+			o = append(o, placer.Chat{Chat: c, Placement: p})
 		}
 	}
 
--- a/internal/granter/granter_test.go
+++ b/internal/granter/granter_test.go
@@ -203,7 +203,7 @@
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
 			f := newFixture(4)
-			f.RecordPlacement(f.now, 77, placer.Place{Target: 1, Tokens: tc.prompt})
+			f.RecordPlacement(f.now, 77, placer.Placement{Target: 1, Tokens: tc.prompt})
 			f.Sync(f.now, 2, 1000, grants(2, 1, 20))
 			f.Sync(f.now, 3, 1000, grants(3, 2, 10))
 
@@ -232,7 +232,7 @@
 func TestLoadedCellForwardsNewChats(t *testing.T) {
 	i := is.New(t)
 	f := newFixture(2)
-	f.RecordPlacement(f.now, 5, placer.Place{Target: 1, Tokens: 100})
+	f.RecordPlacement(f.now, 5, placer.Placement{Target: 1, Tokens: 100})
 	f.Sync(f.now, 2, 1000, grants(2, 1, 10))
 	f.ReportCell(f.now, 900, 2, 80)
 	f.ReportCell(f.now, 901, 6, 80)
@@ -269,7 +269,7 @@
 	i.Equal(len(f.ChangedPlacements(10, 4)), 1) // The cyclic scan returns it again.
 
 	g := newFixture(2)
-	g.RecordPlacement(g.now, l[0].Chat, l[0].Place)
+	g.RecordPlacement(g.now, l[0].Chat, l[0].Placement)
 	_, w := g.reserve(1, 77, 1)
 	i.Equal(w.Target, v.Target)
 	i.True(w.Returned)
--- a/internal/granter/spill.go
+++ b/internal/granter/spill.go
@@ -120,7 +120,7 @@
 	k.load++
 
 	if a.Chat != 0 {
-		g.storePlacement(now, a.Chat, placer.Place{Target: k.cell})
+		g.storePlacement(now, a.Chat, placer.Placement{Target: k.cell})
 	}
 
 	return Verdict{Reason: Elsewhere, Cell: k.cell}, true
--- a/internal/keeper/answer.go
+++ b/internal/keeper/answer.go
@@ -119,7 +119,7 @@
 		h.holder = from
 
 		for _, p := range w.Places {
-			h.granter.RecordPlacement(now, p.Chat, placer.Place{Target: p.Target, Tokens: int(p.Tokens)})
+			h.granter.RecordPlacement(now, p.Chat, placer.Placement{Target: p.Target, Tokens: int(p.Tokens)})
 		}
 	})
 }
--- a/internal/matcher/cell.go
+++ b/internal/matcher/cell.go
@@ -7,28 +7,28 @@
 	"github.com/auburntray/auburntray/internal/hasher"
 )
 
-// A data centre whose part of a pool has fewer targets than minCell shares one
-// cell with the rest of its region: with few targets the mean is coarse and
-// the bound would refuse places that the region still has.
+// minCell is the number of a pool's targets from which a data centre has cells of its own.
+// Smaller data centres of a region share cells: with few targets the mean load is coarse, and
+// the bound would refuse slots that the region still has.
 const minCell = 8
 
-// Cell is a set of targets whose load one instance, the cell's home, counts.
-// Every target belongs to exactly one cell, so that exactly one instance at a
-// time grants its places.
+// Cell is a set of targets whose load is counted by one instance, the cell's home (home
+// node). Every target belongs to exactly one cell, so that exactly one instance at a time
+// grants its slots.
 type Cell struct {
 	ID     uint32
 	Name   string
 	Region string
-	// Pool is the pool of which this cell has a part.
+	// Pool is the name of the pool that the cell belongs to.
 	Pool string
-	// DataCentres are those in which the cell's targets stand, in order.
+	// DataCentres are the data centres of the cell's targets, sorted by name.
 	DataCentres []string
 	Targets     []*Target
 }
 
-// Ranked returns the cells that hold targets of a rule, in the order in which
-// a chat tries them: those of the caller's region by capacity, then the
-// others.
+// Ranked returns the cells with targets of a rule in the order in which a chat tries them:
+// first the cells of the caller's region, then those of each other region by name. Within a
+// region they are ordered by rendezvous hashing, weighted by capacity.
 func (m *Matcher) Ranked(r *Rule, region string, chat uint64) []*Cell {
 	o := rank(r.cells[region], r, chat)
 
@@ -54,12 +54,12 @@
 	return o
 }
 
-// Cells returns all cells in the order of their names. Callers must not change
-// the result.
+// Cells returns all cells, sorted by name. Callers must not modify the result.
 func (m *Matcher) Cells() []*Cell {
 	return m.ordered
 }
 
+// rank orders cells by rendezvous hashing of a chat, weighted by capacity.
 func rank(c []*Cell, r *Rule, chat uint64) []*Cell {
 	if len(c) < 2 {
 		return append([]*Cell(nil), c...)
@@ -77,7 +77,7 @@
 	return o
 }
 
-// capacity sums what a rule may use of a cell.
+// capacity returns the total capacity of the cell's targets that a rule selects.
 func (c *Cell) capacity(r *Rule) int {
 	n := 0
 
@@ -90,17 +90,17 @@
 	return n
 }
 
-// Selects says that the rule selects a target.
+// Selects reports whether the rule selects a target.
 func (r *Rule) Selects(t *Target) bool {
 	i := sort.Search(len(r.Targets), func(i int) bool { return r.Targets[i].Name >= t.Name })
 
 	return i < len(r.Targets) && r.Targets[i] == t
 }
 
-// joinPools gives rules that share a target the same pool, named for the first
-// rule by name. Two homes that grant places on one target would together pass
-// its bound, each by its own count.
-func joinPools(r []*Rule) {
+// mergePools assigns rules with a common target to the same pool, named after the first of
+// them by name. Otherwise two homes would grant slots on the target, each by its own count,
+// and together exceed the target's bound.
+func mergePools(r []*Rule) {
 	o := append([]*Rule(nil), r...)
 	sort.Slice(o, func(a, b int) bool { return o[a].Name < o[b].Name })
 
@@ -108,15 +108,15 @@
 		x.pool = x.Name
 	}
 
-	for joined := true; joined; {
-		joined = false
+	for merged := true; merged; {
+		merged = false
 		p := make(map[*Target]string)
 
 		for _, x := range o {
 			for _, t := range x.Targets {
 				if q, ok := p[t]; ok && q < x.pool {
 					x.pool = q
-					joined = true
+					merged = true
 				}
 			}
 
@@ -127,7 +127,7 @@
 	}
 }
 
-// partition puts the targets of each pool into cells.
+// partition divides the targets of each pool into cells.
 func (m *Matcher) partition() {
 	type part struct{ pool, region, centre string }
 
@@ -165,10 +165,10 @@
 	m.index()
 }
 
-// split adds targets to the cells of a part of a pool, so that none has many more
-// than the limit: one home's control traffic grows with its cells. The number of
-// cells is a power of two and each target chooses by rendezvous, so that adding a target moves no
-// other until the number doubles.
+// split adds the targets of a part of a pool to cells, so that no cell has many more targets
+// than the limit, since the control traffic of a home grows with its cells. The number of
+// cells is a power of two and each target is assigned to one by rendezvous hashing, so that
+// adding a target moves no other until the number of cells doubles.
 func (m *Matcher) split(pool, region, part string, t []*Target) {
 	n := 1
 	for n*m.document.Limits.Cell() < len(t) {
@@ -195,7 +195,7 @@
 	c.Targets = append(c.Targets, t)
 }
 
-// index orders each cell and tells each rule its cells.
+// index sorts the cells and their targets, and records the cells of each rule.
 func (m *Matcher) index() {
 	for _, r := range m.rules {
 		r.cells = make(map[string][]*Cell)
@@ -236,8 +236,8 @@
 	return k
 }
 
-// Holds says that a target is in the cell.
-func (c *Cell) Holds(target uint32) bool {
+// Contains reports whether a target belongs to the cell.
+func (c *Cell) Contains(target uint32) bool {
 	for _, t := range c.Targets {
 		if t.ID == target {
 			return true
--- a/internal/matcher/matcher.go
+++ b/internal/matcher/matcher.go
@@ -1,5 +1,5 @@
-// Package matcher finds the rule that a request falls under, and the cells of
-// targets that the rule selects.
+// Package matcher finds the rule that applies to a request, and the cells of targets that the
+// rule selects.
 package matcher
 
 import (
@@ -14,15 +14,15 @@
 	"github.com/auburntray/auburntray/internal/parser"
 )
 
-// Labels of the traffic that a rule's selector may name, besides the labels of
-// the customer.
+// Labels of a request that the traffic selector of a rule may use, in addition to the labels
+// of the customer.
 const (
 	LabelModel    = "model"
 	LabelMethod   = "method"
 	LabelCustomer = "customer"
 )
 
-// Traffic is what is known of a request before it is routed.
+// Traffic holds the properties of a request that rules match.
 type Traffic struct {
 	Path     string
 	Method   string
@@ -30,7 +30,7 @@
 	Customer string
 }
 
-// Target is a target of the document, read and named.
+// Target is a target of the document with its name, identifier and parsed address.
 type Target struct {
 	parser.Target
 
@@ -39,21 +39,21 @@
 	Address netip.AddrPort
 }
 
-// Rule is a rule of the document with its selectors read.
+// Rule is a rule of the document with its selectors parsed.
 type Rule struct {
 	parser.Rule
 
 	Name string
 	ID   uint32
-	// Targets are the selected targets in the order of their names.
+	// Targets are the selected targets, sorted by name.
 	Targets []*Target
 	traffic labels.Selector
 	pool    string
 	cells   map[string][]*Cell
 }
 
-// Matcher holds one revision of the document in the form that requests need.
-// It never changes, so it is safe for concurrent use.
+// Matcher is an index of one revision of the document. It is immutable, and therefore safe
+// for concurrent use.
 type Matcher struct {
 	document *parser.Document
 	rules    []*Rule
@@ -64,7 +64,8 @@
 	weights  map[uint32]float64
 }
 
-// New returns a Matcher for a checked document.
+// New returns a Matcher for a validated document. Targets and rules that cannot be parsed
+// are ignored.
 func New(d *parser.Document) *Matcher {
 	m := &Matcher{
 		document: d,
@@ -78,23 +79,23 @@
 		m.weights[hasher.Name(n)] = c.Share()
 	}
 
-	t := readTargets(d)
+	t := parseTargets(d)
 	for _, x := range t {
 		m.targets[x.ID] = x
 	}
 
-	m.rules = readRules(d, t)
+	m.rules = parseRules(d, t)
 	for _, r := range m.rules {
 		m.byID[r.ID] = r
 	}
 
-	joinPools(m.rules)
+	mergePools(m.rules)
 	m.partition()
 
 	return m
 }
 
-// Match returns the rule for the traffic, or nil when no rule selects it.
+// Match returns the first rule that selects the traffic, or nil if there is none.
 func (m *Matcher) Match(t Traffic) *Rule {
 	s := labels.Set{LabelModel: t.Model, LabelMethod: t.Method, LabelCustomer: t.Customer}
 	maps.Copy(s, m.document.Customers[t.Customer].Labels)
@@ -108,29 +109,30 @@
 	return nil
 }
 
-// Known says that the document names a customer.
-func (m *Matcher) Known(customer string) bool {
+// HasCustomer reports whether the document contains a customer.
+func (m *Matcher) HasCustomer(customer string) bool {
 	_, ok := m.document.Customers[customer]
 
 	return ok
 }
 
-// Rule returns a rule by its identifier, or nil.
+// Rule returns the rule with an identifier, or nil if there is none.
 func (m *Matcher) Rule(id uint32) *Rule {
 	return m.byID[id]
 }
 
-// Target returns a target by its identifier, or nil.
+// Target returns the target with an identifier, or nil if there is none.
 func (m *Matcher) Target(id uint32) *Target {
 	return m.targets[id]
 }
 
-// Cell returns a cell by its identifier, or nil.
+// Cell returns the cell with an identifier, or nil if there is none.
 func (m *Matcher) Cell(id uint32) *Cell {
 	return m.cells[id]
 }
 
-// Weight returns a customer's weight by the hash of its name.
+// Weight returns the weight of a customer, given by the hash of its name, or
+// parser.DefaultWeight if the customer is unknown.
 func (m *Matcher) Weight(customer uint32) float64 {
 	if w, ok := m.weights[customer]; ok {
 		return w
@@ -144,7 +146,7 @@
 	return m.document.Limits
 }
 
-func readTargets(d *parser.Document) []*Target {
+func parseTargets(d *parser.Document) []*Target {
 	t := make([]*Target, 0, len(d.Targets))
 
 	for n, x := range d.Targets {
@@ -161,8 +163,8 @@
 	return t
 }
 
-// readRules returns the rules in the order in which they are tried.
-func readRules(d *parser.Document, t []*Target) []*Rule {
+// parseRules returns the rules in the order in which they are matched.
+func parseRules(d *parser.Document, t []*Target) []*Rule {
 	r := make([]*Rule, 0, len(d.Rules))
 
 	for n, x := range d.Rules {
@@ -176,7 +178,7 @@
 			continue
 		}
 
-		r = append(r, &Rule{Rule: x, Name: n, ID: hasher.Name(n), traffic: f, Targets: selected(t, s)})
+		r = append(r, &Rule{Rule: x, Name: n, ID: hasher.Name(n), traffic: f, Targets: selectTargets(t, s)})
 	}
 
 	sort.Slice(r, func(a, b int) bool {
@@ -190,7 +192,7 @@
 	return r
 }
 
-func selected(t []*Target, s labels.Selector) []*Target {
+func selectTargets(t []*Target, s labels.Selector) []*Target {
 	var o []*Target
 
 	for _, x := range t {
--- a/internal/matcher/matcher_test.go
+++ b/internal/matcher/matcher_test.go
@@ -11,7 +11,7 @@
 	"github.com/auburntray/auburntray/internal/parser"
 )
 
-// document has n targets of an app in each of some data centres of a region.
+// document returns a document with n targets in each of the given data centres of a region.
 func document(n int, centres ...string) *parser.Document {
 	d := &parser.Document{
 		Targets:   make(map[string]parser.Target),
@@ -41,12 +41,12 @@
 		traffic matcher.Traffic
 		want    string
 	}{
-		"by model":              {matcher.Traffic{Path: "/v1", Model: "m", Customer: "tin"}, "all"},
-		"by customer's labels":  {matcher.Traffic{Path: "/v1", Model: "m", Customer: "gold"}, "gold"},
-		"by path and method":    {matcher.Traffic{Path: "/orders/1", Method: "POST", Customer: "tin"}, "orders"},
-		"another method":        {matcher.Traffic{Path: "/orders/1", Method: "GET", Customer: "tin"}, ""},
-		"nothing selects it":    {matcher.Traffic{Path: "/v1", Model: "other"}, ""},
-		"a customer not known ": {matcher.Traffic{Path: "/v1", Model: "m", Customer: "who"}, "all"},
+		"by model":           {matcher.Traffic{Path: "/v1", Model: "m", Customer: "tin"}, "all"},
+		"by customer labels": {matcher.Traffic{Path: "/v1", Model: "m", Customer: "gold"}, "gold"},
+		"by path and method": {matcher.Traffic{Path: "/orders/1", Method: "POST", Customer: "tin"}, "orders"},
+		"other method":       {matcher.Traffic{Path: "/orders/1", Method: "GET", Customer: "tin"}, ""},
+		"no rule matches":    {matcher.Traffic{Path: "/v1", Model: "other"}, ""},
+		"unknown customer":   {matcher.Traffic{Path: "/v1", Model: "m", Customer: "who"}, "all"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
@@ -66,16 +66,16 @@
 		document func() *parser.Document
 		cells    int
 	}{
-		"few targets share one cell of the region": {func() *parser.Document { return document(5, "w", "x", "y", "z") }, 1},
-		"many in a data centre have their own":     {func() *parser.Document { return document(9, "x", "y") }, 2},
-		"more than the limit are split":            {func() *parser.Document { return document(30, "x") }, 2},
-		"a large fleet lowers the limit":           {func() *parser.Document { d := document(30, "x"); d.Limits.CellTargets = 8; return d }, 4},
-		"rules that share a target share a pool": {func() *parser.Document {
+		"small data centres share a cell of the region": {func() *parser.Document { return document(5, "w", "x", "y", "z") }, 1},
+		"large data centres have their own cells":       {func() *parser.Document { return document(9, "x", "y") }, 2},
+		"more targets than the limit are split":         {func() *parser.Document { return document(30, "x") }, 2},
+		"a configured limit applies":                    {func() *parser.Document { d := document(30, "x"); d.Limits.CellTargets = 8; return d }, 4},
+		"rules with a common target share a pool": {func() *parser.Document {
 			d := document(4, "x")
 			d.Rules["b"] = parser.Rule{Targets: "half=0"}
 			return d
 		}, 1},
-		"rules that share none have pools of their own": {func() *parser.Document {
+		"rules without common targets have separate pools": {func() *parser.Document {
 			d := document(4, "x")
 			d.Rules = map[string]parser.Rule{"a": {Targets: "half=0"}, "b": {Targets: "half=1"}}
 
@@ -88,7 +88,7 @@
 			l := m.Cells()
 			i.Equal(len(l), tc.cells)
 
-			// Every target has exactly one cell, or two homes would grant its places.
+			// Every target belongs to exactly one cell; otherwise two homes would grant its slots.
 			n := make(map[uint32]int)
 
 			for _, c := range l {
@@ -106,7 +106,7 @@
 	}
 }
 
-func TestRankedSpreadsChatsAndStaysInTheRegion(t *testing.T) {
+func TestRankedPrefersRegion(t *testing.T) {
 	i := is.New(t)
 	d := document(9, "x", "y")
 
@@ -123,14 +123,14 @@
 	for k := range uint64(100) {
 		l := m.Ranked(r, "r", k)
 		i.Equal(len(l), 2)
-		i.Equal(l[0].Region, "r") // the caller's first, the others after it
+		i.Equal(l[0].Region, "r") // the caller's region first, then the others
 	}
 
-	i.Equal(len(m.Siblings(m.Cells()[0])), 0) // cells of two regions do not share a mean
+	i.Equal(len(m.Siblings(m.Cells()[0])), 0) // cells of different regions do not share a mean
 }
 
-// BenchmarkNew reads a document of the design size into the form that requests
-// need, and BenchmarkMatch finds a rule in it.
+// BenchmarkNew indexes a document of the design size: 600 targets, 7,600 customers and 32
+// rules.
 func BenchmarkNew(b *testing.B) {
 	d := designSize()
 
@@ -139,6 +139,7 @@
 	}
 }
 
+// BenchmarkMatch finds a rule and ranks its cells in a document of the design size.
 func BenchmarkMatch(b *testing.B) {
 	m := matcher.New(designSize())
 
--- a/internal/picker/picker.go
+++ b/internal/picker/picker.go
@@ -1,6 +1,6 @@
-// Package picker chooses the target for a request: the one that holds the
-// chat's prompt prefix while its load allows it, and otherwise the least loaded
-// of its customer's.
+// Package picker selects the target for a request: the one that has the chat's prompt prefix
+// in its cache, as long as its load permits, and otherwise the least loaded target of the
+// customer's subset.
 package picker
 
 import (
@@ -9,85 +9,85 @@
 	"github.com/auburntray/auburntray/internal/hasher"
 )
 
-// Settings are the constants of the policy. docs/decisions says which measurements
-// their values come from.
+// Settings are the parameters of the policy. docs/decisions names the measurements that
+// their values are derived from.
 type Settings struct {
-	// LoadFactor is the multiple of the mean load that no target may exceed, and
-	// Slack how many requests above the mean it may have where that is more.
+	// LoadFactor bounds the load of a target to a multiple of the mean load, and Slack to
+	// a number of requests above the mean. The larger bound applies.
 	LoadFactor float64
 	Slack      float64
-	// StickMargin is how far below LoadFactor the multiple is up to which a chat
-	// goes back to its place. It leaves room for the others.
-	StickMargin float64
-	// SubsetSpare and SubsetFactor size a customer's subset: its share of the
-	// targets times the factor, plus the spare.
+	// PlacementMargin is subtracted from LoadFactor for the bound up to which a chat returns
+	// to its placement. It reserves capacity for other requests.
+	PlacementMargin float64
+	// SubsetSpare and SubsetFactor determine the size of a customer's subset: the
+	// customer's share of the targets times SubsetFactor, plus SubsetSpare.
 	SubsetSpare  int
 	SubsetFactor float64
 }
 
 // DefaultSettings returns the settings that routers use.
 func DefaultSettings() Settings {
-	return Settings{LoadFactor: 1.25, Slack: 3, StickMargin: 0.06, SubsetSpare: 3, SubsetFactor: 2}
+	return Settings{LoadFactor: 1.25, Slack: 3, PlacementMargin: 0.06, SubsetSpare: 3, SubsetFactor: 2}
 }
 
-// Candidate is a target as the picker sees it.
+// Candidate is a target that may be selected.
 type Candidate struct {
 	ID uint32
 	// Weight is the target's capacity.
 	Weight float64
-	// Load is the work in flight there.
+	// Load is the work in flight at the target.
 	Load float64
-	// Out says that the target takes no new work; its load still counts
-	// towards the mean when Counted is set.
-	Out     bool
-	Counted bool
-	// Gone says that the target is out for more than its load.
-	Gone bool
+	// Unavailable reports that the target accepts no new requests. Its load still counts towards
+	// the mean if Counted is set.
+	Unavailable bool
+	Counted     bool
+	// Excluded reports that the target is excluded for a reason other than its load.
+	Excluded bool
 }
 
-// Request is what the choice depends on besides the candidates.
+// Request holds the properties of a request that the selection depends on.
 type Request struct {
-	// Chat is the chat's key; zero means that it has none.
+	// Chat is the key of the chat; zero means that the request belongs to none.
 	Chat uint64
 	// Customer is the customer's key.
 	Customer uint32
-	// Share is the customer's part of the load, from 0 to 1.
+	// Share is the customer's share of the load, from 0 to 1.
 	Share float64
-	// Place is the index of the target that holds the chat's prefix, or -1.
-	Place int
-	// Work is the work that the request brings to a target without its prefix,
-	// and PlaceWork the work that it brings to its place.
-	Work      float64
-	PlaceWork float64
-	// OtherLoad and OtherWeight are of the targets that count towards the mean
-	// besides the candidates.
+	// Placement is the index of the candidate that has the chat's prefix in its cache, or -1.
+	Placement int
+	// Work is the work of the request at a target without its prefix, and PlacementWork its
+	// work at its placement.
+	Work          float64
+	PlacementWork float64
+	// OtherLoad and OtherWeight are the sums over the targets that count towards the mean
+	// but are no candidates.
 	OtherLoad   float64
 	OtherWeight float64
 }
 
-// NoTarget is the choice when no candidate may be used.
+// NoTarget is the result when no candidate accepts new requests.
 const NoTarget = -1
 
-// Pick returns the index of the chosen candidate, or NoTarget. It is safe for
-// concurrent use.
+// Pick returns the index of the selected candidate, or NoTarget if none accepts new
+// requests. It is safe for concurrent use.
 func Pick(s Settings, r Request, c []Candidate) int {
 	b := newBound(s, r, c)
 
-	if r.Place >= 0 && !c[r.Place].Out && b.sticks(c[r.Place], r.PlaceWork) {
-		return r.Place
+	if r.Placement >= 0 && !c[r.Placement].Unavailable && b.permitsPlacement(c[r.Placement], r.PlacementWork) {
+		return r.Placement
 	}
 
-	if i := least(b, c, ranked(r, c, subset(s, r, c))); i != NoTarget {
+	if i := leastWithinBound(b, c, ranked(r, c, subset(s, r, c))); i != NoTarget {
 		return i
 	}
 
-	return emptiest(r, c)
+	return leastLoaded(r, c)
 }
 
-// ranked orders candidates by rendezvous for the chat, so that among equally
-// loaded ones each chat has its own first. Without it a quiet fleet would put
-// every new chat on one engine, and a home that lost its table would find none
-// of them again.
+// ranked orders candidates by rendezvous hashing of the chat, so that chats prefer different
+// ones among equally loaded candidates. Otherwise a fleet with little load would assign every
+// new chat to one engine, and a home (home node) that lost its placement table could not
+// find the chats' targets again.
 func ranked(r Request, c []Candidate, n []int) []int {
 	o := hasher.Rank(r.Chat, len(n),
 		func(i int) uint64 { return uint64(c[n[i]].ID) },
@@ -100,15 +100,15 @@
 	return o
 }
 
-// bound is the load that a target may carry.
+// bound computes the maximum load of targets.
 type bound struct {
 	settings Settings
 	request  Request
 	mean     float64
 }
 
-// newBound works out the mean load by weight of the counted candidates, with
-// the request's own work in it.
+// newBound computes the mean load per weight of the counted candidates and the other
+// targets, including the request's own work.
 func newBound(s Settings, r Request, c []Candidate) bound {
 	l, w := r.OtherLoad, r.OtherWeight
 
@@ -123,43 +123,44 @@
 }
 
 func (b bound) work(i int) float64 {
-	if i == b.request.Place {
-		return b.request.PlaceWork
+	if i == b.request.Placement {
+		return b.request.PlacementWork
 	}
 
 	return b.request.Work
 }
 
-// holds says that a target stays within the bound with more work. An engine far
-// above the mean shows as slow tokens for every chat on it; the check counts
-// the new request, so the bound holds after the choice and not just before.
-func (b bound) holds(c Candidate, work float64) bool {
-	return !c.Out && c.Load+work <= b.limit(b.settings.LoadFactor, c)
+// permits reports whether a target is available and stays within the bound with additional
+// work. An engine far above the mean generates tokens slowly for all its chats. The check
+// includes the new request, so that the bound also holds after the selection.
+func (b bound) permits(c Candidate, work float64) bool {
+	return !c.Unavailable && c.Load+work <= b.limit(b.settings.LoadFactor, c)
 }
 
-func (b bound) sticks(c Candidate, work float64) bool {
-	return c.Load+work <= b.limit(b.settings.LoadFactor-b.settings.StickMargin, c)
+// permitsPlacement reports whether a chat may return to its placement.
+func (b bound) permitsPlacement(c Candidate, work float64) bool {
+	return c.Load+work <= b.limit(b.settings.LoadFactor-b.settings.PlacementMargin, c)
 }
 
-// limit is a multiple of the mean, or a few requests above the mean where that is
-// more. With few requests about, a multiple of the mean is less than one
-// request: without the second part a quiet fleet would send each chat away from
-// its place, and lose its prompt caches though no engine is near its capacity.
+// limit returns the larger of a multiple of the mean and the mean plus Slack. With few
+// requests in flight, a multiple of the mean allows less than one additional request. Without
+// Slack a fleet with little load would move each chat from its placement, and lose its prompt
+// caches although no engine is near its capacity.
 func (b bound) limit(factor float64, c Candidate) float64 {
 	m := b.mean * c.Weight
 
 	return max(factor*m, m+b.settings.Slack)
 }
 
-// subset returns the indexes of the customer's targets: a prefix of its own
-// rendezvous order, so that a surge adds targets and moves no chat. It keeps a
-// prefix that a customer's chats share on few targets, and keeps a surge away
-// from the other customers.
+// subset returns the indexes of the customer's targets, the first ones in its rendezvous
+// order, so that a surge adds targets without moving chats. The subset keeps a prompt prefix
+// that is common to the customer's chats on few targets, and isolates other customers from
+// the surge.
 func subset(s Settings, r Request, c []Candidate) []int {
 	u := make([]int, 0, len(c))
 
 	for i, x := range c {
-		if !x.Out {
+		if !x.Unavailable {
 			u = append(u, i)
 		}
 	}
@@ -181,15 +182,15 @@
 	return n
 }
 
-// least returns the least loaded of the given candidates that stays within the
+// leastWithinBound returns the least loaded of the given candidates that stay within the
 // bound, or NoTarget.
-func least(b bound, c []Candidate, o []int) int {
+func leastWithinBound(b bound, c []Candidate, o []int) int {
 	v := NoTarget
 	l := math.Inf(1)
 
 	for _, i := range o {
 		x := (c[i].Load + b.work(i)) / c[i].Weight
-		if x < l && b.holds(c[i], b.work(i)) {
+		if x < l && b.permits(c[i], b.work(i)) {
 			v, l = i, x
 		}
 	}
@@ -197,21 +198,21 @@
 	return v
 }
 
-// emptiest returns the candidate that ends with the least load. It is reached
-// when one request alone is more than the bound, as it is on an idle fleet, and
-// keeps the excess to that one request.
-func emptiest(r Request, c []Candidate) int {
+// leastLoaded returns the available candidate with the least load after the request,
+// regardless of the bound. It is used if every candidate would exceed the bound, for example
+// when a single request does so on an idle fleet, and limits the excess to that request.
+func leastLoaded(r Request, c []Candidate) int {
 	v := NoTarget
 	l := math.Inf(1)
 
 	for i, x := range c {
 		w := r.Work
-		if i == r.Place {
-			w = r.PlaceWork
+		if i == r.Placement {
+			w = r.PlacementWork
 		}
 
 		y := (x.Load + w) / x.Weight
-		if !x.Out && y < l {
+		if !x.Unavailable && y < l {
 			v, l = i, y
 		}
 	}
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -1,86 +1,84 @@
-// Package placer remembers which target served a chat last, in bounded memory.
+// Package placer stores the placement of each chat, the target that served it last, in
+// bounded memory.
 //
-// What it holds is soft state: losing it costs prompt-cache reuse and nothing
-// else.
+// Placements are soft state: losing them costs prompt-cache reuse and nothing else.
 package placer
 
 import "time"
 
 const (
-	// ways is how many chats share a bucket. Within a bucket the chat that was
-	// seen longest ago gives way; eight ways come close to a full LRU.
+	// ways is the number of entries in a bucket. Each bucket evicts its least recently
+	// used chat; eight ways come close to a full LRU.
 	ways = 8
-	// EntryBytes is the memory that one remembered chat takes.
+	// EntryBytes is the memory of one entry.
 	EntryBytes = 16
-	// tokenUnit is the step in which a chat's length is remembered.
+	// tokenUnit is the resolution of a chat's stored length, in tokens.
 	tokenUnit = 32
 	maxUnits  = 1<<16 - 1
-	// seenUnit is the step in which the last use is remembered; 16 bits of it
-	// pass 18 hours before they wrap, longer than a prefix stays in a cache.
+	// seenUnit is the resolution of the stored time of last use. Its 16 bits wrap after 18
+	// hours, longer than a prefix stays in a cache.
 	seenUnit = time.Second
 )
 
-// Place is where a chat was served last.
-type Place struct {
+// Placement is the target that served a chat last.
+type Placement struct {
 	Target uint32
-	// Tokens is about the length of the prompt and answer then, in tokens.
+	// Tokens is the length of the prompt and answer at that time, rounded down to 32.
 	Tokens int
 }
 
-type slot struct {
+type entry struct {
 	chat   uint64
 	target uint32
 	units  uint16
 	seen   uint16
 }
 
-// Placer is a set-associative table of places. It is not safe for concurrent
-// use.
+// Placer is a set-associative table of placements. It is not safe for concurrent use.
 type Placer struct {
-	slots   []slot
-	mask    uint64
-	size    int
-	maximum uint64
+	entries    []entry
+	mask       uint64
+	size       int
+	maxBuckets uint64
 }
 
-// minBuckets is the size that a Placer starts with.
+// minBuckets is the initial number of buckets.
 const minBuckets = 16
 
-// New returns a Placer that grows as chats come, up to the given number of
-// bytes. Zero means the smallest table.
+// New returns an empty Placer that grows as chats are added, up to the given number of
+// bytes. Zero means the smallest table, of 16 buckets.
 func New(maxBytes int) *Placer {
 	n := uint64(minBuckets)
 	for n*2*ways*EntryBytes <= uint64(max(maxBytes, 0)) {
 		n *= 2
 	}
 
-	return &Placer{slots: make([]slot, minBuckets*ways), mask: minBuckets - 1, maximum: n}
+	return &Placer{entries: make([]entry, minBuckets*ways), mask: minBuckets - 1, maxBuckets: n}
 }
 
-// Get returns the place of a chat, and false when none is remembered.
-func (p *Placer) Get(chat uint64) (Place, bool) {
+// Get returns the placement of a chat, and false if none is stored.
+func (p *Placer) Get(chat uint64) (Placement, bool) {
 	for i := range p.bucket(chat) {
 		s := &p.bucket(chat)[i]
 		if s.target != 0 && s.chat == chat {
-			return Place{Target: s.target, Tokens: int(s.units) * tokenUnit}, true
+			return Placement{Target: s.target, Tokens: int(s.units) * tokenUnit}, true
 		}
 	}
 
-	return Place{}, false
+	return Placement{}, false
 }
 
-// Put remembers the place of a chat as of a time. A target of zero is not
-// remembered.
-func (p *Placer) Put(now time.Time, chat uint64, x Place) {
+// Put stores the placement of a chat as of the given time. A target of zero is ignored.
+func (p *Placer) Put(now time.Time, chat uint64, x Placement) {
 	if x.Target == 0 {
 		return
 	}
 
-	if p.size*10 > len(p.slots)*7 && p.mask+1 < p.maximum {
+	if p.size*10 > len(p.entries)*7 && p.mask+1 < p.maxBuckets {
 		p.grow()
 	}
 
-	p.set(slot{
+	p.set(entry{
 		chat:   chat,
 		target: x.Target,
 		units:  uint16(min(max(x.Tokens, 0)/tokenUnit, maxUnits)),
@@ -88,50 +86,50 @@
 	})
 }
 
-// Len returns how many chats are remembered.
+// Len returns the number of stored chats.
 func (p *Placer) Len() int {
 	return p.size
 }
 
-// Bytes returns the memory that the table takes.
+// Bytes returns the memory that the table occupies.
 func (p *Placer) Bytes() int {
-	return len(p.slots) * EntryBytes
+	return len(p.entries) * EntryBytes
 }
 
-// Chat is a remembered chat with its place.
+// Chat is a stored chat with its placement.
 type Chat struct {
-	Place
+	Placement
 
 	Chat uint64
 }
 
-// Scan returns up to n remembered chats from a position of the table on, and the
-// position after them, which is zero at the end. Zero begins.
+// Scan returns up to n stored chats from the given position of the table, and the position
+// to continue from, which is zero at the end of the table. A scan begins at zero.
 func (p *Placer) Scan(from, n int) ([]Chat, int) {
 	var o []Chat
 
-	for i := from; i < len(p.slots); i++ {
+	for i := from; i < len(p.entries); i++ {
 		if len(o) == n {
 			return o, i
 		}
 
-		if s := p.slots[i]; s.target != 0 {
-			o = append(o, Chat{Chat: s.chat, Place: Place{Target: s.target, Tokens: int(s.units) * tokenUnit}})
+		if s := p.entries[i]; s.target != 0 {
+			o = append(o, Chat{Chat: s.chat, Placement: Placement{Target: s.target, Tokens: int(s.units) * tokenUnit}})
 		}
 	}
 
 	return o, 0
 }
 
-func (p *Placer) bucket(chat uint64) []slot {
+func (p *Placer) bucket(chat uint64) []entry {
 	i := (chat & p.mask) * ways
 
-	return p.slots[i : i+ways]
+	return p.entries[i : i+ways]
 }
 
-// set writes a slot over the chat's own, a free one, or the one seen longest
-// ago, in this order.
-func (p *Placer) set(n slot) {
+// set stores an entry over the chat's own entry, a free entry, or the least recently used
+// one, in this order of preference.
+func (p *Placer) set(n entry) {
 	b := p.bucket(n.chat)
 	v := 0
 
@@ -142,7 +140,7 @@
 			return
 		}
 
-		if older(b[i], b[v], n.seen) {
+		if evictsBefore(b[i], b[v], n.seen) {
 			v = i
 		}
 	}
@@ -154,9 +152,9 @@
 	b[v] = n
 }
 
-// older says that slot a gives way before slot b. Ages are differences from
-// now in 16 bits, so that the wrap of the clock does no harm.
-func older(a, b slot, now uint16) bool {
+// evictsBefore reports whether entry a is overwritten in preference to entry b. Ages are
+// 16-bit differences from now, so that they stay correct when the stored time wraps.
+func evictsBefore(a, b entry, now uint16) bool {
 	if b.target == 0 {
 		return false
 	}
@@ -164,12 +162,12 @@
 	return a.target == 0 || now-a.seen > now-b.seen
 }
 
-// grow doubles the table. It happens rarely: a table of 8 MB has doubled
-// sixteen times.
+// grow doubles the table. This is rare: a table grows from 2 KB to 8 MB in
+// twelve doublings.
 func (p *Placer) grow() {
-	o := p.slots
+	o := p.entries
 	p.mask = p.mask*2 + 1
-	p.slots = make([]slot, len(o)*2)
+	p.entries = make([]entry, len(o)*2)
 	p.size = 0
 
 	for _, s := range o {
--- a/internal/orderer/orderer_test.go
+++ b/internal/reconciler/reconciler_test.go
@@ -1,4 +1,4 @@
-package orderer_test
+package reconciler_test
 
 import (
 	"context"
@@ -17,15 +17,15 @@
 
 	"github.com/auburntray/auburntray/internal/counter"
 	"github.com/auburntray/auburntray/internal/matcher"
-	"github.com/auburntray/auburntray/internal/orderer"
 	"github.com/auburntray/auburntray/internal/parser"
+	"github.com/auburntray/auburntray/internal/reconciler"
 	"github.com/auburntray/auburntray/internal/recorder"
 	"github.com/auburntray/auburntray/internal/sender"
 	"github.com/auburntray/auburntray/internal/standin/engine"
 )
 
-// log is a fake of the platform's log on the test's clock. Appends can be slow
-// to answer.
+// log is a fake of the platform's log on the test's clock. Appends take the time slow, and
+// lose their replies if down is set.
 type log struct {
 	mu      sync.Mutex
 	records []recorder.Record
@@ -61,21 +61,22 @@
 	}, nil
 }
 
-// target is a fake of an engine that takes orders.
+// target is a fake engine that accepts commands. It refuses outdated fencing numbers if checks
+// is set.
 type target struct {
 	checks bool
 	model  string
 	fence  uint64
 	orders int
-	// before runs right before an order arrives.
+	// before runs once, immediately before a command arrives.
 	before func()
 }
 
-func (x *target) Ordered(context.Context, netip.AddrPort) (string, uint64, error) {
+func (x *target) ReportedModel(context.Context, netip.AddrPort) (string, uint64, error) {
 	return x.model, x.fence, nil
 }
 
-func (x *target) Order(_ context.Context, _ netip.AddrPort, model string, fence uint64) error {
+func (x *target) CommandModel(_ context.Context, _ netip.AddrPort, model string, fence uint64) error {
 	if f := x.before; f != nil {
 		x.before = nil
 		f()
@@ -91,7 +92,7 @@
 	return nil
 }
 
-func wanted(model string) *matcher.Target {
+func desired(model string) *matcher.Target {
 	return &matcher.Target{Target: parser.Target{Model: model}, Name: "t", ID: 7}
 }
 
@@ -105,16 +106,16 @@
 		orders int
 		want   string
 	}{
-		"they differ":               {&log{}, "old", nil, 1, "new"},
-		"they agree":                {&log{}, "new", nil, 0, "new"},
-		"the lease's reply is lost": {&log{down: true}, "old", orderer.ErrNoLease, 0, "old"},
-		"paused after the lease":    {&log{slow: 6 * time.Second}, "old", orderer.ErrLapsed, 0, "old"},
+		"models differ":                   {&log{}, "old", nil, 1, "new"},
+		"models agree":                    {&log{}, "new", nil, 0, "new"},
+		"reply to lease request is lost":  {&log{down: true}, "old", reconciler.ErrNoLease, 0, "old"},
+		"stalled after the lease request": {&log{slow: 6 * time.Second}, "old", reconciler.ErrLeaseExpired, 0, "old"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				i := is.New(t)
 				x := &target{model: tc.model}
-				err := orderer.New(tc.log, x, counter.New(), 1).Reconcile(t.Context(), wanted("new"))
+				err := reconciler.New(tc.log, x, counter.New(), 1).Reconcile(t.Context(), desired("new"))
 				i.True(errors.Is(err, tc.err))
 				i.Equal(x.orders, tc.orders)
 				i.Equal(x.model, tc.want)
@@ -123,54 +124,54 @@
 	}
 }
 
-// A router is paused with an order in its hand, right after it looked at the
-// clock. Meanwhile its lease lapses, a shift changes the model and another
-// router orders it. Then the old order arrives. A target that checks the number
-// refuses it; one that does not runs the old model until the next pass.
-func TestAStaleOrderDoesNotStand(t *testing.T) {
+// Guards against a stale command that remains in effect. A router stalls after it checked the
+// age of its lease; the lease expires, and another router commands a new model before the
+// old command arrives. A target that checks fencing numbers refuses the old command; any
+// other runs the old model until the next pass.
+func TestStaleCommandIsCorrected(t *testing.T) {
 	logrus.SetLevel(logrus.FatalLevel)
 
-	for name, checks := range map[string]bool{"the target checks": true, "the target does not": false} {
+	for name, checks := range map[string]bool{"target checks fencing": true, "target ignores fencing": false} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				i := is.New(t)
 				l, x := &log{}, &target{checks: checks, model: "old"}
-				a, b := orderer.New(l, x, counter.New(), 1), orderer.New(l, x, counter.New(), 2)
+				a, b := reconciler.New(l, x, counter.New(), 1), reconciler.New(l, x, counter.New(), 2)
 
 				x.before = func() {
 					time.Sleep(11 * time.Second)
-					i.NoErr(b.Reconcile(t.Context(), wanted("new")))
+					i.NoErr(b.Reconcile(t.Context(), desired("new")))
 				}
 
-				err := a.Reconcile(t.Context(), wanted("stale"))
+				err := a.Reconcile(t.Context(), desired("stale"))
 				i.Equal(errors.Is(err, sender.ErrFenced), checks)
 
 				time.Sleep(11 * time.Second)
-				i.NoErr(b.Reconcile(t.Context(), wanted("new")))
+				i.NoErr(b.Reconcile(t.Context(), desired("new")))
 				i.Equal(x.model, "new")
 			})
 		})
 	}
 }
 
-// Two routers that disagree on who sees to a target order at the same time. Only
-// the one whose lease comes first in the log may.
-func TestOnlyTheHolderOrders(t *testing.T) {
+// Guards against conflicting commands from two routers that both consider themselves the home
+// of a target. Only the router whose lease record is first in the log may send one.
+func TestOnlyLeaseHolderSendsCommands(t *testing.T) {
 	logrus.SetLevel(logrus.FatalLevel)
 	synctest.Test(t, func(t *testing.T) {
 		i := is.New(t)
 		l, x := &log{}, &target{model: "old"}
-		a, b := orderer.New(l, x, counter.New(), 1), orderer.New(l, x, counter.New(), 2)
+		a, b := reconciler.New(l, x, counter.New(), 1), reconciler.New(l, x, counter.New(), 2)
 
-		x.before = func() { i.True(errors.Is(b.Reconcile(t.Context(), wanted("new")), orderer.ErrNoLease)) }
+		x.before = func() { i.True(errors.Is(b.Reconcile(t.Context(), desired("new")), reconciler.ErrNoLease)) }
 
-		i.NoErr(a.Reconcile(t.Context(), wanted("new")))
+		i.NoErr(a.Reconcile(t.Context(), desired("new")))
 		i.Equal(x.orders, 1)
 	})
 }
 
-// The stand-in keeps the engine's contract on the wire.
-func TestOrdersOnTheWire(t *testing.T) {
+// The simulated engine follows the engine's protocol for commands.
+func TestCommandProtocol(t *testing.T) {
 	for name, checks := range map[string]bool{"checks": true, "ignores": false} {
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
@@ -189,10 +190,10 @@
 			defer end()
 
 			a := netip.MustParseAddrPort(strings.TrimPrefix(h.URL, "http://"))
-			i.NoErr(s.Order(t.Context(), a, "one", 5))
-			i.Equal(errors.Is(s.Order(t.Context(), a, "two", 4), sender.ErrFenced), checks)
+			i.NoErr(s.CommandModel(t.Context(), a, "one", 5))
+			i.Equal(errors.Is(s.CommandModel(t.Context(), a, "two", 4), sender.ErrFenced), checks)
 
-			m, f, err := s.Ordered(t.Context(), a)
+			m, f, err := s.ReportedModel(t.Context(), a)
 			i.NoErr(err)
 			i.Equal(f, uint64(5))
 			i.Equal(m == "one", checks)
--- a/internal/registrar/partition.go
+++ b/internal/registrar/partition.go
@@ -35,9 +35,9 @@
 	return p
 }
 
-// Record is part of streamer.Fold. A record that can't be read is folded as one
+// ApplyRecord is part of streamer.Fold. A record that can't be read is folded as one
 // that changes nothing, by every reader alike.
-func (p *partition) Record(offset uint64, at time.Time, data []byte) {
+func (p *partition) ApplyRecord(offset uint64, at time.Time, data []byte) {
 	var w wire.ClaimRecord
 
 	r := claimer.Record{Settled: claimer.NotRun}
--- a/internal/retrier/retrier.go
+++ b/internal/retrier/retrier.go
@@ -1,4 +1,4 @@
-// Package retrier decides whether a request that failed is sent again.
+// Package retrier decides whether a failed request is retried.
 package retrier
 
 import (
@@ -7,28 +7,28 @@
 )
 
 const (
-	// budgetPart is how much of a retry each success pays for.
-	budgetPart = 0.1
-	// budgetMax bounds what quiet times save up for a storm, and is what a
-	// router starts with.
-	budgetMax = 10.0
+	// budgetRatio is the number of retries that each success adds to the budget.
+	budgetRatio = 0.1
+	// maxBudget bounds the retries that accumulate while few requests fail, and thus the
+	// burst of a retry storm. It is also the initial budget.
+	maxBudget = 10.0
 	// The backoff doubles from backoffBase up to backoffMax, with full jitter.
 	backoffBase = 20 * time.Millisecond
 	backoffMax  = time.Second
-	// maxAttempts bounds the attempts at one request, the first included.
+	// maxAttempts is the maximum number of attempts per request, including the first.
 	maxAttempts = 4
 )
 
-// Attempt is what is known of an attempt that failed.
+// Attempt describes a failed attempt.
 type Attempt struct {
-	// Number counts the attempts so far, from 1.
+	// Number is the number of the attempt, starting at 1.
 	Number int
-	// Repeatable says that the request may run more than once.
+	// Repeatable reports that the request may run more than once.
 	Repeatable bool
-	// NotRun says that the attempt provably did not run: the dial was refused,
-	// or the target itself said so.
+	// NotRun reports that the attempt provably did not run: the connection was refused, or
+	// the target reported so.
 	NotRun bool
-	// Relayed says that a part of the answer has reached the caller.
+	// Relayed reports that a part of the answer was already sent to the caller.
 	Relayed bool
 }
 
@@ -40,18 +40,19 @@
 
 // New returns a Retrier with a full budget.
 func New(r *rand.Rand) *Retrier {
-	return &Retrier{random: r, budget: budgetMax}
+	return &Retrier{random: r, budget: maxBudget}
 }
 
-// Succeed pays into the budget.
-func (r *Retrier) Succeed() {
-	r.budget = min(r.budget+budgetPart, budgetMax)
+// RecordSuccess adds the ratio for one successful request to the budget.
+func (r *Retrier) RecordSuccess() {
+	r.budget = min(r.budget+budgetRatio, maxBudget)
 }
 
-// Next says whether to send again, and how long to wait before.
+// Next reports whether to retry, and the backoff before the retry.
 //
-// Without the budget a fleet whose targets fail multiplies its load just then,
-// and stays down after the cause is gone; with it retries add at most a tenth.
+// Without the budget, retries would multiply the load of failing targets and keep them
+// overloaded after the cause has been removed. With it, retries add at most a tenth of the
+// successful requests.
 func (r *Retrier) Next(now, deadline time.Time, a Attempt) (time.Duration, bool) {
 	if a.Relayed || a.Number >= maxAttempts {
 		return 0, false
--- a/internal/retrier/retrier_test.go
+++ b/internal/retrier/retrier_test.go
@@ -19,13 +19,13 @@
 		deadline time.Time
 		want     bool
 	}{
-		"a repeatable call is sent again":           {retrier.Attempt{Number: 1, Repeatable: true}, late, true},
-		"not after a part was relayed":              {retrier.Attempt{Number: 1, Repeatable: true, Relayed: true}, late, false},
-		"not for ever":                              {retrier.Attempt{Number: 4, Repeatable: true}, late, false},
+		"a repeatable request is retried":           {retrier.Attempt{Number: 1, Repeatable: true}, late, true},
+		"not after a part of the answer is relayed": {retrier.Attempt{Number: 1, Repeatable: true, Relayed: true}, late, false},
+		"not after the maximum number of attempts":  {retrier.Attempt{Number: 4, Repeatable: true}, late, false},
 		"not past the deadline":                     {retrier.Attempt{Number: 1, Repeatable: true}, now, false},
-		"another call only when it was not run":     {retrier.Attempt{Number: 1, NotRun: true}, late, true},
-		"and never when it may have run":            {retrier.Attempt{Number: 1}, late, false},
-		"not even in the middle of the retry count": {retrier.Attempt{Number: 2}, late, false},
+		"not repeatable but not run":                {retrier.Attempt{Number: 1, NotRun: true}, late, true},
+		"not repeatable and possibly run":           {retrier.Attempt{Number: 1}, late, false},
+		"not repeatable, at a later attempt":        {retrier.Attempt{Number: 2}, late, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
@@ -36,10 +36,9 @@
 	}
 }
 
-// All targets fail. Each call tries again, and the fleet gets four times its
-// load just when it can bear least. The budget keeps retries to a tenth of the
-// successes.
-func TestTheBudgetStopsAStorm(t *testing.T) {
+// Guards against a retry storm. When all targets fail and each request is retried, the fleet
+// receives four times its load. The budget limits retries to a tenth of the successes.
+func TestBudgetLimitsRetryStorm(t *testing.T) {
 	i := is.New(t)
 	r := retrier.New(rand.New(rand.NewPCG(1, 1)))
 	now := time.Unix(0, 0)
@@ -51,10 +50,10 @@
 		}
 	}
 
-	i.Equal(n, 10) // what quiet times saved up
+	i.Equal(n, 10) // the initial budget
 
 	for range 100 {
-		r.Succeed()
+		r.RecordSuccess()
 	}
 
 	n = 0
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -25,8 +25,8 @@
 	"github.com/auburntray/auburntray/internal/joiner"
 	"github.com/auburntray/auburntray/internal/keeper"
 	"github.com/auburntray/auburntray/internal/messenger"
-	"github.com/auburntray/auburntray/internal/orderer"
 	"github.com/auburntray/auburntray/internal/quarantiner"
+	"github.com/auburntray/auburntray/internal/reconciler"
 	"github.com/auburntray/auburntray/internal/recorder"
 	"github.com/auburntray/auburntray/internal/recoverer"
 	"github.com/auburntray/auburntray/internal/registrar"
@@ -45,7 +45,7 @@
 	joiner     *joiner.Joiner
 	supervisor *keeper.Keeper
 	requester  *asker.Asker
-	reconciler *orderer.Orderer
+	reconciler *reconciler.Reconciler
 	messenger  *messenger.Messenger
 	recorder   *recorder.Recorder
 	pipeline   *filterer.Pipeline
@@ -126,7 +126,7 @@
 	Supervisor *keeper.Keeper
 	Requester  *asker.Asker
 	Registrar  *registrar.Registrar
-	Reconciler *orderer.Orderer
+	Reconciler *reconciler.Reconciler
 	Drainer    *drainer.Drainer
 }
 
@@ -148,7 +148,7 @@
 	})
 	o.Requester = asker.New(m, o.Joiner, o.Supervisor, n, p, s.AskTimeout)
 	o.Registrar = registrar.New(r, m, o.Joiner, p, s.ClaimWindow)
-	o.Reconciler = orderer.New(r, t, n, self.ID)
+	o.Reconciler = reconciler.New(r, t, n, self.ID)
 	o.Drainer = drainer.New(s.DrainNotice, s.MaxInFlight)
 
 	return o
@@ -202,7 +202,7 @@
 	Supervisor *keeper.Keeper
 	Requester  *asker.Asker
 	Registrar  *registrar.Registrar
-	Reconciler *orderer.Orderer
+	Reconciler *reconciler.Reconciler
 	Messenger  *messenger.Messenger
 	Recorder   *recorder.Recorder
 	Pipeline   *filterer.Pipeline
--- a/internal/router/run.go
+++ b/internal/router/run.go
@@ -83,7 +83,7 @@
 // noticed, then refuses new calls while calls in progress complete, hands its placements
 // over to other routers and shuts down. It fails if the context ends first.
 func (r *Router) Stop(c context.Context) error {
-	r.drainer.Notice(time.Now())
+	r.drainer.StartShutdown(time.Now())
 	logrus.WithFields(logrus.Fields{"event": "stopping", "name": r.settings.Name, "inFlight": r.drainer.Running()}).Info()
 
 	t := time.NewTicker(drainPollInterval)
--- a/internal/sender/order.go
+++ b/internal/sender/order.go
@@ -23,9 +23,9 @@
 	Fence uint64 `json:"fence"`
 }
 
-// Ordered returns the model that a target runs by its last order, and that
+// ReportedModel returns the model that a target runs by its last order, and that
 // order's fencing number.
-func (s *Sender) Ordered(c context.Context, a netip.AddrPort) (model string, fence uint64, err error) {
+func (s *Sender) ReportedModel(c context.Context, a netip.AddrPort) (model string, fence uint64, err error) {
 	q, err := http.NewRequestWithContext(c, http.MethodGet, s.target(a, ordersPath).String(), nil)
 	if err != nil {
 		return "", 0, errors.Mark(err, ErrNeverSent)
@@ -46,9 +46,9 @@
 	return o.Model, o.Fence, nil
 }
 
-// Order tells a target to load a model, under the fencing number of a lease. It
+// CommandModel tells a target to load a model, under the fencing number of a lease. It
 // fails with ErrFenced when the target has seen a higher number.
-func (s *Sender) Order(c context.Context, a netip.AddrPort, model string, fence uint64) error {
+func (s *Sender) CommandModel(c context.Context, a netip.AddrPort, model string, fence uint64) error {
 	b, err := json.Marshal(order{Model: model, Fence: fence})
 	if err != nil {
 		return errors.Mark(err, ErrNeverSent)
--- a/internal/streamer/streamer.go
+++ b/internal/streamer/streamer.go
@@ -1,5 +1,5 @@
-// Package streamer appends to one stream of the platform's log in groups, and
-// folds it.
+// Package streamer appends records to a stream of the platform's log in batches, and applies
+// the records of the stream to a reducer.
 package streamer
 
 import (
@@ -13,8 +13,8 @@
 const (
 	appendTimeout = 2 * time.Second
 	readTimeout   = 2 * time.Second
-	// maxGroup is how many records go in one append.
-	maxGroup = 500
+	// maxBatch is the maximum number of records in one append.
+	maxBatch = 500
 )
 
 // Log reads and appends to the platform's log.
@@ -23,35 +23,35 @@
 	Append(c context.Context, stream string, data [][]byte) (uint64, error)
 }
 
-// Fold holds what follows from the records of a stream. The Streamer calls it
-// under the lock that View takes, with each record that the log keeps once and in
-// their order.
-type Fold interface {
-	// Record folds the record at an offset, which the log appended at a time.
-	Record(offset uint64, at time.Time, data []byte)
+// Reducer derives its state from the records of a stream. The Streamer calls it
+// with each retained record once, in the order of the log, and holds the lock of View
+// meanwhile.
+type Reducer interface {
+	// ApplyRecord applies the record at an offset, which the log appended at the given time.
+	ApplyRecord(offset uint64, at time.Time, data []byte)
 }
 
-// Streamer is one stream with what this router has folded of it. It is safe for
+// Streamer holds a stream and the state that this router has derived from it. It is safe for
 // concurrent use.
 type Streamer struct {
 	log    Log
 	stream string
 
-	// writing is held by the caller that appends for all that wait.
+	// writing is held by the caller that appends the records of all waiting callers.
 	writing sync.Mutex
 
-	mu   sync.Mutex
-	fold Fold
-	// next is the offset of the first record that is not folded yet.
+	mu      sync.Mutex
+	reducer Reducer
+	// next is the offset of the first record that has not been applied.
 	next  uint64
 	queue []*pending
-	// flushed is when the last append began.
+	// flushed is the start of the last append.
 	flushed time.Time
-	// clock is the log's clock at a time of this router's own clock.
+	// clock is the log's time at the time read of this router's clock.
 	clock, read time.Time
 }
 
-// pending is a record that waits for its append.
+// pending is a record that is queued for an append.
 type pending struct {
 	data []byte
 	done chan struct{}
@@ -59,22 +59,21 @@
 	err  error
 }
 
-// New returns a Streamer that has read nothing.
-func New(l Log, stream string, f Fold) *Streamer {
-	return &Streamer{log: l, stream: stream, fold: f}
+// New returns a Streamer at the start of a stream, with no records applied.
+func New(l Log, stream string, f Reducer) *Streamer {
+	return &Streamer{log: l, stream: stream, reducer: f}
 }
 
-// Append puts a record into the stream, together with those of other callers
-// that come meanwhile: while one append is under way the others gather for the
-// next, so the appends a second stay few however many records come. It returns
-// the offset after the record, or the log's error.
+// Append appends a record to the stream and returns the offset after it, or the log's error.
+// Records that arrive during an append are batched into the next one, which limits the rate
+// of appends at any rate of records.
 func (s *Streamer) Append(c context.Context, data []byte) (uint64, error) {
-	return s.finish(c, s.enqueue(data))
+	return s.flushAndWait(c, s.enqueue(data))
 }
 
-// AppendAfter does as Append does, but where there was an append within the given
-// time it waits for the rest of that time, or for another record to go along
-// with. So such records cost a busy stream few appends and a quiet one no delay.
+// AppendAfter is like Append, but waits until the given gap has passed since the start of the
+// last append, or until the record is appended in a batch of another caller. Such records
+// cost a busy stream few appends and an idle stream no delay.
 func (s *Streamer) AppendAfter(c context.Context, data []byte, gap time.Duration) (uint64, error) {
 	x := s.enqueue(data)
 
@@ -89,12 +88,12 @@
 	case <-x.done:
 		return x.next, x.err
 	case <-t.C:
-		return s.finish(c, x)
+		return s.flushAndWait(c, x)
 	}
 }
 
-// finish appends what waits, a record with it, and returns what became of it.
-func (s *Streamer) finish(c context.Context, x *pending) (uint64, error) {
+// flushAndWait appends the queued records and waits until the given one is appended.
+func (s *Streamer) flushAndWait(c context.Context, x *pending) (uint64, error) {
 	s.writing.Lock()
 	s.flush(c)
 	s.writing.Unlock()
@@ -115,8 +114,8 @@
 	return x
 }
 
-// CatchUp folds the stream until the given offset, or to its present end when
-// the offset is zero.
+// CatchUp reads and applies records up to the given offset, or up to the present end of the
+// stream if the offset is zero. It returns the log's error if a read fails.
 func (s *Streamer) CatchUp(c context.Context, until uint64) error {
 	for {
 		s.mu.Lock()
@@ -127,7 +126,7 @@
 			return nil
 		}
 
-		e, err := s.step(c, n)
+		e, err := s.readBatch(c, n)
 		if err != nil {
 			return err
 		}
@@ -138,7 +137,7 @@
 	}
 }
 
-// View calls f with the time by the log's clock, while nothing is folded.
+// View calls f with the present time of the log's clock. No records are applied meanwhile.
 func (s *Streamer) View(f func(now time.Time)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -146,10 +145,10 @@
 	f(s.clock.Add(time.Since(s.read)))
 }
 
-// flush appends what waits. The caller holds writing.
+// flush appends up to maxBatch queued records. Requires s.writing to be held.
 func (s *Streamer) flush(c context.Context) {
 	s.mu.Lock()
-	q := s.queue[:min(len(s.queue), maxGroup)]
+	q := s.queue[:min(len(s.queue), maxBatch)]
 	s.queue = s.queue[len(q):]
 	s.mu.Unlock()
 
@@ -166,8 +165,8 @@
 		d[i] = x.data
 	}
 
-	// The group holds other callers' records, so it doesn't end with the
-	// context of the one that appends it.
+	// The batch includes records of other callers, so the append is not cancelled with the
+	// context of this caller.
 	x, stop := context.WithTimeout(context.WithoutCancel(c), appendTimeout)
 	defer stop()
 
@@ -180,8 +179,9 @@
 	}
 }
 
-// step reads once and says whether the end was reached.
-func (s *Streamer) step(c context.Context, from uint64) (bool, error) {
+// readBatch reads and applies one batch of records, and reports whether the end of the stream
+// was reached.
+func (s *Streamer) readBatch(c context.Context, from uint64) (bool, error) {
 	x, stop := context.WithTimeout(c, readTimeout)
 	defer stop()
 
@@ -195,17 +195,17 @@
 
 	s.clock = b.Now
 	s.read = time.Now()
-	// What the log has dropped is older than what any fold still needs.
+	// No reducer needs records that are old enough for the log to have dropped them.
 	s.next = max(s.next, b.Oldest)
 
 	for _, r := range b.Records {
-		// Two readers may have read the same.
+		// A concurrent reader may have applied the record already.
 		if r.Offset < s.next {
 			continue
 		}
 
 		s.next = r.Offset + 1
-		s.fold.Record(r.Offset, r.Time, r.Data)
+		s.reducer.ApplyRecord(r.Offset, r.Time, r.Data)
 	}
 
 	return s.next >= b.Next, nil
