--- a/internal/aggregator/aggregator.go
+++ b/internal/aggregator/aggregator.go
@@ -14,7 +14,7 @@
 import (
 	"time"
 
-	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/discoverer"
 )
 
 // maxTransit is the longest time from the grant of a slot until the call arrives at the target, in a
@@ -30,7 +30,7 @@
 // Request is a request for a slot for one call.
 type Request struct {
 	ID     ID
-	Target enroller.Name
+	Target discoverer.Name
 	// MaxCalls is the bound on the calls at the target, including this one.
 	MaxCalls int
 	// Deadline is the time at which the call ends at the latest.
@@ -96,13 +96,13 @@
 
 // Aggregator holds the counts and the health status of targets. It is not safe for concurrent use.
 type Aggregator struct {
-	targets map[enroller.Name]*count
+	targets map[discoverer.Name]*count
 	health  *health
 }
 
 // New returns an Aggregator without targets.
 func New() *Aggregator {
-	return &Aggregator{targets: make(map[enroller.Name]*count), health: newHealth()}
+	return &Aggregator{targets: make(map[discoverer.Name]*count), health: newHealth()}
 }
 
 // Reserve grants a call a slot at a target, unless the target has reached its bound or is excluded. A
@@ -134,14 +134,14 @@
 
 // Release ends a reservation and records the result and the latency of the call; a latency of zero is
 // unknown. The result of an unknown reservation, which has expired, is recorded as well.
-func (a *Aggregator) Release(now time.Time, target enroller.Name, id ID, s Result, latency float64) {
+func (a *Aggregator) Release(now time.Time, target discoverer.Name, id ID, s Result, latency float64) {
 	delete(a.count(target).reservations, id)
 	a.health.record(now, target, s, latency)
 }
 
 // Report records a load report of a target. It includes the calls unknown to this home: those that a
 // former home granted, and those sent without a reservation while this home was unavailable.
-func (a *Aggregator) Report(now time.Time, target enroller.Name, calls int) {
+func (a *Aggregator) Report(now time.Time, target discoverer.Name, calls int) {
 	x := a.count(target)
 	x.report = LoadReport{Calls: calls, At: now}
 
@@ -153,7 +153,7 @@
 }
 
 // Retain drops the counts and the health status of the targets for which f returns false.
-func (a *Aggregator) Retain(f func(enroller.Name) bool) {
+func (a *Aggregator) Retain(f func(discoverer.Name) bool) {
 	for n := range a.targets {
 		if !f(n) {
 			delete(a.targets, n)
@@ -162,7 +162,7 @@
 	}
 }
 
-func (a *Aggregator) count(n enroller.Name) *count {
+func (a *Aggregator) count(n discoverer.Name) *count {
 	x, ok := a.targets[n]
 	if !ok {
 		x = &count{reservations: make(map[ID]reservation)}
--- a/internal/aggregator/aggregator_test.go
+++ b/internal/aggregator/aggregator_test.go
@@ -7,12 +7,12 @@
 	"github.com/matryer/is"
 
 	"github.com/auburntray/auburntray/internal/aggregator"
-	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/discoverer"
 )
 
 const (
-	target = enroller.Name(7)
-	other  = enroller.Name(8)
+	target = discoverer.Name(7)
+	other  = discoverer.Name(8)
 )
 
 // start is the time at which the cases begin.
@@ -20,7 +20,7 @@
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-func request(number uint64, n enroller.Name, most int) aggregator.Request {
+func request(number uint64, n discoverer.Name, most int) aggregator.Request {
 	return aggregator.Request{ID: aggregator.ID{Instance: 1, Number: number}, Target: n, MaxCalls: most, Deadline: at(time.Minute)}
 }
 
@@ -85,7 +85,7 @@
 		}, request(1, target, 9), 2 * time.Second, granted(1)},
 		"target removed": {func(x *aggregator.Aggregator) {
 			x.Reserve(start, request(1, target, 1))
-			x.Retain(func(n enroller.Name) bool { return n == other })
+			x.Retain(func(n discoverer.Name) bool { return n == other })
 		}, request(2, target, 1), 0, granted(1)},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -141,7 +141,7 @@
 		"no other target": {func(x *aggregator.Aggregator) { record(x, 3, aggregator.Failed, 0) }, true, 0, [2]aggregator.Outcome{aggregator.Granted, aggregator.Granted}},
 		"target removed": {func(x *aggregator.Aggregator) {
 			record(x, 3, aggregator.Failed, 0)
-			x.Retain(func(n enroller.Name) bool { return n == other })
+			x.Retain(func(n discoverer.Name) bool { return n == other })
 		}, false, 0, [2]aggregator.Outcome{aggregator.Granted, aggregator.Granted}},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/aggregator/health.go
+++ b/internal/aggregator/health.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
+	"github.com/auburntray/auburntray/internal/discoverer"
 	"github.com/auburntray/auburntray/internal/ejector"
-	"github.com/auburntray/auburntray/internal/enroller"
 	"github.com/auburntray/auburntray/internal/evaluator"
 )
 
@@ -27,9 +27,9 @@
 // health tracks the health status of targets by the calls of all instances. It is not safe for
 // concurrent use.
 type health struct {
-	unreachable *ejector.Ejector[enroller.Name]
-	failing     *ejector.Ejector[enroller.Name]
-	latencies   *evaluator.Evaluator[enroller.Name]
+	unreachable *ejector.Ejector[discoverer.Name]
+	failing     *ejector.Ejector[discoverer.Name]
+	latencies   *evaluator.Evaluator[discoverer.Name]
 }
 
 func newHealth() *health {
@@ -38,14 +38,14 @@
 		// connection indicates a fault of the target. With one failure the fault may be the
 		// instance's own, hence two are required. The times are short, since a failed probe call
 		// is cheap.
-		unreachable: ejector.New[enroller.Name](ejector.Settings{Failures: 2, Base: 500 * time.Millisecond, Max: 2 * time.Second}),
-		failing:     ejector.New[enroller.Name](ejector.Settings{Failures: 3, Base: time.Second, Max: 5 * time.Second}),
-		latencies:   evaluator.New[enroller.Name](),
+		unreachable: ejector.New[discoverer.Name](ejector.Settings{Failures: 2, Base: 500 * time.Millisecond, Max: 2 * time.Second}),
+		failing:     ejector.New[discoverer.Name](ejector.Settings{Failures: 3, Base: time.Second, Max: 5 * time.Second}),
+		latencies:   evaluator.New[discoverer.Name](),
 	}
 }
 
 // excluded reports whether a target is to get no calls for now, given the median latency of its group.
-func (h *health) excluded(now time.Time, n enroller.Name, median float64) bool {
+func (h *health) excluded(now time.Time, n discoverer.Name, median float64) bool {
 	if h.unreachable.Excluded(now, n) || h.failing.Excluded(now, n) {
 		return true
 	}
@@ -54,14 +54,14 @@
 }
 
 // start records that a call is sent to a target. If the target is excluded, it is a probe call.
-func (h *health) start(now time.Time, n enroller.Name) {
+func (h *health) start(now time.Time, n discoverer.Name) {
 	h.unreachable.StartProbe(now, n)
 	h.failing.StartProbe(now, n)
 	h.latencies.RecordCall(now, n)
 }
 
 // record records the result of a call and its latency; a latency of zero is unknown.
-func (h *health) record(now time.Time, n enroller.Name, s Result, latency float64) {
+func (h *health) record(now time.Time, n discoverer.Name, s Result, latency float64) {
 	switch s {
 	case Answered:
 		h.unreachable.RecordResult(now, n, true)
@@ -82,7 +82,7 @@
 	}
 }
 
-func (h *health) forget(n enroller.Name) {
+func (h *health) forget(n discoverer.Name) {
 	h.unreachable.Forget(n)
 	h.failing.Forget(n)
 	h.latencies.Forget(n)
--- a/internal/aggregator/replay_test.go
+++ b/internal/aggregator/replay_test.go
@@ -11,7 +11,7 @@
 	"github.com/matryer/is"
 
 	"github.com/auburntray/auburntray/internal/aggregator"
-	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/discoverer"
 	"github.com/auburntray/auburntray/internal/selector"
 )
 
@@ -35,7 +35,7 @@
 // running is a call in progress at a target.
 type running struct {
 	by     int
-	target *enroller.Target
+	target *discoverer.Target
 	ends   time.Time
 	id     aggregator.ID
 }
@@ -57,7 +57,7 @@
 // replay simulates a fleet of instances that choose targets and send each other load updates.
 type replay struct {
 	random     *rand.Rand
-	registry   *enroller.Roster
+	registry   *discoverer.Registry
 	selectors  []*selector.Selector
 	aggregator *aggregator.Aggregator
 	calls      queue
@@ -70,16 +70,16 @@
 
 // newReplay returns a fleet that requests slots from homes, or that chooses by load updates only.
 func newReplay(homes bool) *replay {
-	e := enroller.New(enroller.DefaultSettings())
+	e := discoverer.New(discoverer.DefaultSettings())
 
 	for n := range targets {
-		e.Set(enroller.Target{
+		e.Set(discoverer.Target{
 			ID: fmt.Sprintf("t%d", n), Group: "g", DataCentre: fmt.Sprintf("dc%d", n%6), Slots: 12,
 			Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(n >> 8), byte(n)}), 80),
 		})
 	}
 
-	r := &replay{random: rand.New(rand.NewPCG(1, 2)), registry: e.Roster(), inProgress: make(map[string]int)}
+	r := &replay{random: rand.New(rand.NewPCG(1, 2)), registry: e.Registry(), inProgress: make(map[string]int)}
 
 	for range instances {
 		c := selector.New(selector.DefaultSettings())
@@ -119,7 +119,7 @@
 	r.selectors[n].ReportLoad(now, x.target, selector.LoadReport{Running: r.inProgress[x.target.ID], Slots: x.target.Slots})
 }
 
-func (r *replay) choose(now time.Time, n int, key uint64, id aggregator.ID) *enroller.Target {
+func (r *replay) choose(now time.Time, n int, key uint64, id aggregator.ID) *discoverer.Target {
 	c := r.selectors[n]
 
 	for i := 1; ; i++ {
--- a/internal/asker/ask.go
+++ b/internal/asker/ask.go
@@ -98,7 +98,7 @@
 func (a *Asker) here(c context.Context, r Request, w wire.Ask) (Place, error) {
 	a.moved(c, r.Cell, a.members.Self())
 
-	v, err := a.keeper.Ask(time.Now(), a.members.Self().ID, w)
+	v, err := a.keeper.Reserve(time.Now(), a.members.Self().ID, w)
 	if err != nil {
 		return Place{}, errors.Mark(err, ErrNoPlace)
 	}
--- a/internal/asker/asker.go
+++ b/internal/asker/asker.go
@@ -37,10 +37,10 @@
 
 // keeper decides for the cells that this router is home to.
 type keeper interface {
-	Ask(now time.Time, entry uint64, w wire.Ask) (wire.Verdict, error)
+	Reserve(now time.Time, entry uint64, w wire.Ask) (wire.Verdict, error)
 	Release(now time.Time, entry uint64, w wire.Release)
 	Report(now time.Time, w wire.Report)
-	Rest(now time.Time, w wire.Rest)
+	BackOff(now time.Time, w wire.Rest)
 	Sync(now time.Time, entry uint64, w wire.Sync)
 }
 
--- a/internal/asker/asker_test.go
+++ b/internal/asker/asker_test.go
@@ -104,7 +104,7 @@
 	return nil
 }
 
-func (n *network) Ask(time.Time, uint64, wire.Ask) (wire.Verdict, error) {
+func (n *network) Reserve(time.Time, uint64, wire.Ask) (wire.Verdict, error) {
 	n.asks[self]++
 
 	return wire.Verdict{Target: 7}, nil
@@ -114,7 +114,7 @@
 	n.freed[self] = append(n.freed[self], w)
 }
 
-func (n *network) Rest(time.Time, wire.Rest) {}
+func (n *network) BackOff(time.Time, wire.Rest) {}
 
 func (n *network) Report(_ time.Time, w wire.Report) {
 	n.reports[self] = append(n.reports[self], w)
--- a/internal/asker/tell.go
+++ b/internal/asker/tell.go
@@ -71,7 +71,7 @@
 
 	h, ok := a.away(p.cell)
 	if !ok {
-		a.keeper.Rest(time.Now(), w)
+		a.keeper.BackOff(time.Now(), w)
 
 		return
 	}
--- a/internal/cataloger/cataloger.go
+++ b/internal/cataloger/cataloger.go
@@ -1,5 +1,5 @@
-// Package cataloger holds which calls a gateway serves: rules by host and path,
-// groups of targets, customers by their keys, and limits on callers.
+// Package cataloger provides the catalog of a gateway: routing rules by host and path prefix,
+// groups of targets, customers by their API keys, and limits on calls.
 package cataloger
 
 import (
@@ -14,46 +14,47 @@
 type Group struct {
 	Name string
 	// ColdFor is how long a target is cold after its start, and ColdRate how many calls a second
-	// it bears meanwhile; zero sets no bound.
+	// it can serve meanwhile; zero sets no bound.
 	ColdFor  time.Duration
 	ColdRate float64
 }
 
-// Customer is who calls.
+// Customer is a customer with its API keys.
 type Customer struct {
 	Name string
 	Keys []string
-	// Priority goes before that of the rule when Ranked is set.
+	// Priority overrides the priority of the rule.
 	Priority int
-	Ranked   bool
-	// Regions are those whose targets may run the customer's calls; none means all.
+	// HasPriority is set when the customer has a priority.
+	HasPriority bool
+	// Regions are the regions whose targets may run the customer's calls; none means all.
 	Regions []string
 }
 
-// Limits bounds what callers may send. A zero field sets no bound.
+// Limits bounds the calls and connections of callers. A zero field sets no bound.
 type Limits struct {
-	// Body is the longest body in bytes.
-	Body int64
-	// Header is how many bytes the headers of a call may have.
-	Header int64
-	// HeaderTime is how long they may take after their first byte.
-	HeaderTime time.Duration
-	// Idle is how long a connection may be kept open between two calls.
-	Idle time.Duration
+	// MaxBody is the largest size of a request body in bytes.
+	MaxBody int64
+	// MaxHeader is the largest size of a call's headers in bytes.
+	MaxHeader int64
+	// HeaderTimeout is how long the headers may take to arrive after their first byte.
+	HeaderTimeout time.Duration
+	// IdleTimeout is how long a connection may remain open between two calls.
+	IdleTimeout time.Duration
 }
 
-// check refuses limits that nobody can keep to.
+// check returns an error if a limit is negative.
 func (l Limits) check() error {
-	if min(l.Body, l.Header) < 0 || min(l.HeaderTime, l.Idle) < 0 {
-		return errors.New("a limit is below zero")
+	if min(l.MaxBody, l.MaxHeader) < 0 || min(l.HeaderTimeout, l.IdleTimeout) < 0 {
+		return errors.New("negative limit")
 	}
 
 	return nil
 }
 
-// Document is what a catalog is made from.
+// Document is the content that a catalog is made from.
 type Document struct {
-	// Version rises with each change, in uneven steps.
+	// Version rises with each change, not necessarily by one.
 	Version   uint64
 	Rules     []Rule
 	Groups    []Group
@@ -61,8 +62,8 @@
 	Limits    Limits
 }
 
-// Catalog is one version, indexed. It is safe for concurrent use; nothing in it
-// changes.
+// Catalog is one version of the document, indexed. It is immutable and safe for concurrent
+// use.
 type Catalog struct {
 	Version uint64
 	Limits  Limits
@@ -73,8 +74,8 @@
 	customers map[string]*Customer
 }
 
-// New returns the catalog of a document. It fails with ErrCatalog when the document can't
-// be used as a whole: nothing of it is in force then.
+// New returns the catalog of a document. It fails with ErrCatalog if any entry is invalid, so
+// a document takes effect as a whole or not at all.
 func New(d Document) (*Catalog, error) {
 	c := &Catalog{
 		Version: d.Version, Limits: d.Limits, keyed: len(d.Customers) > 0,
@@ -84,7 +85,7 @@
 	for _, add := range []func() error{
 		d.Limits.check,
 		func() error { return c.addGroups(d.Groups) },
-		func() error { return c.addRules(d.Rules) }, // After the groups, which they name.
+		func() error { return c.addRules(d.Rules) }, // After the groups, which rules refer to.
 		func() error { return c.addCustomers(d.Customers) },
 	} {
 		if err := add(); err != nil {
@@ -99,11 +100,11 @@
 	for i := range l {
 		g := &l[i]
 		if _, ok := c.groups[g.Name]; ok || g.Name == "" {
-			return errors.Newf("group %q has no name of its own", g.Name)
+			return errors.Newf("group %q: name is empty or duplicate", g.Name)
 		}
 
 		if g.ColdFor < 0 || g.ColdRate < 0 {
-			return errors.Newf("group %q has a number below zero", g.Name)
+			return errors.Newf("group %q: negative value", g.Name)
 		}
 
 		c.groups[g.Name] = g
@@ -118,10 +119,10 @@
 	for i := range l {
 		r := &l[i]
 		if names[r.Name] {
-			return errors.Newf("rule %q is there twice", r.Name)
+			return errors.Newf("rule %q: duplicate name", r.Name)
 		}
 
-		if err := c.check(r); err != nil {
+		if err := c.checkRule(r); err != nil {
 			return err
 		}
 
@@ -130,7 +131,7 @@
 		c.hosts[h] = append(c.hosts[h], r)
 	}
 
-	// The longest prefix goes first, so that the first match is the right one.
+	// Sorted by descending prefix length, so that the first match has the longest prefix.
 	for _, l := range c.hosts {
 		sort.SliceStable(l, func(a, b int) bool { return len(l[a].Prefix) > len(l[b].Prefix) })
 	}
@@ -138,27 +139,27 @@
 	return nil
 }
 
-// check completes a rule and refuses one that can't be served.
-func (c *Catalog) check(r *Rule) error {
+// checkRule validates a rule and sets the default of its attempts.
+func (c *Catalog) checkRule(r *Rule) error {
 	if !strings.HasPrefix(r.Prefix, "/") {
-		return errors.Newf("rule %q: the prefix %q does not begin with a slash", r.Name, r.Prefix)
+		return errors.Newf("rule %q: prefix %q does not begin with a slash", r.Name, r.Prefix)
 	}
 
-	if min(r.Longest, r.Latency, r.Pause) < 0 || min(r.Attempts, r.Priority) < 0 {
-		return errors.Newf("rule %q has a number below zero", r.Name)
+	if min(r.Timeout, r.Latency, r.MaxEventGap) < 0 || min(r.Attempts, r.Priority) < 0 {
+		return errors.Newf("rule %q: negative value", r.Name)
 	}
 
 	if len(r.Shares) == 0 {
-		return errors.Newf("rule %q names no group", r.Name)
+		return errors.Newf("rule %q: no groups", r.Name)
 	}
 
 	for _, s := range r.Shares {
 		if _, ok := c.groups[s.Group]; !ok {
-			return errors.Newf("rule %q: there is no group %q", r.Name, s.Group)
+			return errors.Newf("rule %q: unknown group %q", r.Name, s.Group)
 		}
 
 		if s.Weight < 0 {
-			return errors.Newf("rule %q: the weight of group %q is below zero", r.Name, s.Group)
+			return errors.Newf("rule %q: negative weight of group %q", r.Name, s.Group)
 		}
 	}
 
@@ -169,27 +170,27 @@
 
 // addCustomers indexes the customers by their keys.
 //
-// A key of two customers would let the callers of one spend the share of the other. An
-// empty key would be that of every caller who shows none, who would be let in. The error
-// names no key: it is told in the log.
+// Keys must be unique, since callers of one customer could otherwise use up the share of
+// another. Empty keys are invalid, since they would admit all callers without a key. The
+// error contains no key, because it is logged.
 func (c *Catalog) addCustomers(l []Customer) error {
 	names := make(map[string]bool, len(l))
 
 	for i := range l {
 		u := &l[i]
 		if names[u.Name] || u.Name == "" {
-			return errors.Newf("customer %q has no name of its own", u.Name)
+			return errors.Newf("customer %q: name is empty or duplicate", u.Name)
 		}
 
 		if u.Priority < 0 {
-			return errors.Newf("customer %q has a priority below zero", u.Name)
+			return errors.Newf("customer %q: negative priority", u.Name)
 		}
 
 		names[u.Name] = true
 
 		for _, k := range u.Keys {
 			if o, ok := c.customers[k]; k == "" || ok && o != u {
-				return errors.Newf("customer %q has a key that is empty or another's", u.Name)
+				return errors.Newf("customer %q: key is empty or belongs to another customer", u.Name)
 			}
 
 			c.customers[k] = u
@@ -199,8 +200,8 @@
 	return nil
 }
 
-// Match returns the rule with the longest prefix of the path among those of the
-// host, and false when there is none.
+// Match returns the rule of the host with the longest matching path prefix, and false when
+// there is none.
 func (c *Catalog) Match(host, path string) (*Rule, bool) {
 	for _, r := range c.hosts[strings.ToLower(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -211,22 +212,22 @@
 	return nil, false
 }
 
-// Group returns a group, and false when there is none of the name.
+// Group returns the group of a name, and false when there is none.
 func (c *Catalog) Group(name string) (*Group, bool) {
 	g, ok := c.groups[name]
 
 	return g, ok
 }
 
-// Customer returns who holds a key, and false when nobody does.
+// Customer returns the customer of a key, and false when there is none.
 func (c *Catalog) Customer(key string) (*Customer, bool) {
 	x, ok := c.customers[key]
 
 	return x, ok
 }
 
-// Keyed says that callers need a key: without any customer, none is asked for. Customers
-// without keys are customers: once the last key was taken away, nobody has one.
-func (c *Catalog) Keyed() bool {
+// RequiresKey reports whether callers need a key, which is so when the catalog has customers, also
+// if none of them has a key: removing the last key must not admit all callers.
+func (c *Catalog) RequiresKey() bool {
 	return c.keyed
 }
--- a/internal/cataloger/cataloger_test.go
+++ b/internal/cataloger/cataloger_test.go
@@ -32,13 +32,13 @@
 	}
 
 	for name, x := range map[string]struct{ host, path, want string }{
-		"longest prefix":     {"a.example", "/x/y/z", "long"},
-		"shorter prefix":     {"a.example", "/x/yy", "short"},
-		"slash is needed":    {"a.example", "/x", ""},
-		"other host":         {"c.example", "/x/y/z", ""},
-		"host in any case":   {"A.Example", "/x/", "short"},
-		"root takes any":     {"b.example", "/anything", "root"},
-		"not of other hosts": {"a.example", "/anything", ""},
+		"longest prefix":      {"a.example", "/x/y/z", "long"},
+		"shorter prefix":      {"a.example", "/x/yy", "short"},
+		"no trailing slash":   {"a.example", "/x", ""},
+		"unknown host":        {"c.example", "/x/y/z", ""},
+		"host in upper case":  {"A.Example", "/x/", "short"},
+		"root prefix":         {"b.example", "/anything", "root"},
+		"other host's prefix": {"a.example", "/anything", ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestRefused(t *testing.T) {
+func TestInvalidRules(t *testing.T) {
 	for name, r := range map[string]cataloger.Rule{
 		"prefix without a slash": rule("r", "h", "x/", "g"),
 		"no group":               rule("r", "h", "/"),
@@ -68,10 +68,10 @@
 	}
 }
 
-// A user would be let in under another's name, or without a key, or see calls end at once:
-// a document whose fields are all of their types has values that mean nothing. It is
-// refused whole.
-func TestDocumentsThatMeanNothing(t *testing.T) {
+// Guards against documents with correct types and invalid values, which would admit callers
+// as another customer or without a key, or time out calls at once. Such a document is
+// rejected as a whole.
+func TestInvalidValues(t *testing.T) {
 	type document = cataloger.Document
 
 	first := func(f func(r *cataloger.Rule)) func(d *document) {
@@ -79,31 +79,31 @@
 	}
 
 	for name, x := range map[string]struct {
-		change func(d *document)
-		bad    bool
+		change  func(d *document)
+		invalid bool
 	}{
-		"as it should be":       {func(*document) {}, false},
+		"valid":                 {func(*document) {}, false},
 		"zero attempts":         {first(func(r *cataloger.Rule) { r.Attempts = 0 }), false},
 		"rules without names":   {func(d *document) { d.Rules[0].Name, d.Rules[1].Name = "", "" }, false},
-		"a key twice of one":    {func(d *document) { d.Customers[0].Keys = []string{"k1", "k1"} }, false},
-		"group twice":           {func(d *document) { d.Groups = append(d.Groups, d.Groups[0]) }, true},
+		"key twice in customer": {func(d *document) { d.Customers[0].Keys = []string{"k1", "k1"} }, false},
+		"duplicate group":       {func(d *document) { d.Groups = append(d.Groups, d.Groups[0]) }, true},
 		"group without a name":  {func(d *document) { d.Groups = append(d.Groups, cataloger.Group{}) }, true},
-		"rule twice":            {func(d *document) { d.Rules[1].Name = d.Rules[0].Name }, true},
-		"weight below zero":     {first(func(r *cataloger.Rule) { r.Shares[0].Weight = -1 }), true},
-		"attempts below zero":   {first(func(r *cataloger.Rule) { r.Attempts = -1 }), true},
-		"priority below zero":   {first(func(r *cataloger.Rule) { r.Priority = -1 }), true},
-		"longest below zero":    {first(func(r *cataloger.Rule) { r.Longest = -1 }), true},
-		"latency below zero":    {first(func(r *cataloger.Rule) { r.Latency = -1 }), true},
-		"pause below zero":      {first(func(r *cataloger.Rule) { r.Pause = -1 }), true},
-		"body below zero":       {func(d *document) { d.Limits.Body = -1 }, true},
-		"header below zero":     {func(d *document) { d.Limits.Header = -1 }, true},
-		"headers' time below":   {func(d *document) { d.Limits.HeaderTime = -1 }, true},
-		"idle below zero":       {func(d *document) { d.Limits.Idle = -1 }, true},
-		"customer twice":        {func(d *document) { d.Customers[1].Name = "a" }, true},
+		"duplicate rule":        {func(d *document) { d.Rules[1].Name = d.Rules[0].Name }, true},
+		"negative weight":       {first(func(r *cataloger.Rule) { r.Shares[0].Weight = -1 }), true},
+		"negative attempts":     {first(func(r *cataloger.Rule) { r.Attempts = -1 }), true},
+		"negative priority":     {first(func(r *cataloger.Rule) { r.Priority = -1 }), true},
+		"negative timeout":      {first(func(r *cataloger.Rule) { r.Timeout = -1 }), true},
+		"negative latency":      {first(func(r *cataloger.Rule) { r.Latency = -1 }), true},
+		"negative event gap":    {first(func(r *cataloger.Rule) { r.MaxEventGap = -1 }), true},
+		"negative body size":    {func(d *document) { d.Limits.MaxBody = -1 }, true},
+		"negative header size":  {func(d *document) { d.Limits.MaxHeader = -1 }, true},
+		"negative header time":  {func(d *document) { d.Limits.HeaderTimeout = -1 }, true},
+		"negative idle time":    {func(d *document) { d.Limits.IdleTimeout = -1 }, true},
+		"duplicate customer":    {func(d *document) { d.Customers[1].Name = "a" }, true},
 		"customer without name": {func(d *document) { d.Customers[1].Name = "" }, true},
-		"a key of two":          {func(d *document) { d.Customers[1].Keys = []string{"k2", "k1"} }, true},
-		"an empty key":          {func(d *document) { d.Customers[1].Keys = []string{""} }, true},
-		"rank below zero":       {func(d *document) { d.Customers[1].Priority = -1 }, true},
+		"key of two customers":  {func(d *document) { d.Customers[1].Keys = []string{"k2", "k1"} }, true},
+		"empty key":             {func(d *document) { d.Customers[1].Keys = []string{""} }, true},
+		"negative rank":         {func(d *document) { d.Customers[1].Priority = -1 }, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -115,20 +115,20 @@
 			x.change(&d)
 
 			c, err := cataloger.New(d)
-			is.Equal(errors.Is(err, cataloger.ErrCatalog), x.bad)
-			is.Equal(c == nil, x.bad)
+			is.Equal(errors.Is(err, cataloger.ErrCatalog), x.invalid)
+			is.Equal(c == nil, x.invalid)
 		})
 	}
 }
 
-// Anyone could call without a key: the last key of the last customer is taken away, and a
-// catalog without keys was taken for one without customers.
-func TestCustomersWithoutKeysLetNobodyIn(t *testing.T) {
+// Guards against calls without a key after the last key of the last customer is removed: a
+// catalog without keys must not count as one without customers.
+func TestCustomersWithoutKeysAdmitNobody(t *testing.T) {
 	is := is.New(t)
 
 	c, err := cataloger.New(cataloger.Document{Customers: []cataloger.Customer{{Name: "a"}}})
 	is.NoErr(err)
-	is.True(c.Keyed())
+	is.True(c.RequiresKey())
 }
 
 func TestCustomers(t *testing.T) {
@@ -136,7 +136,7 @@
 
 	c, err := cataloger.New(cataloger.Document{Customers: []cataloger.Customer{{Name: "a", Keys: []string{"k1", "k2"}}}})
 	is.NoErr(err)
-	is.True(c.Keyed())
+	is.True(c.RequiresKey())
 
 	u, ok := c.Customer("k2")
 	is.True(ok)
@@ -146,7 +146,7 @@
 	is.True(!ok)
 }
 
-func TestSharesSplitByWeightAndStayWithAKey(t *testing.T) {
+func TestSharesSplitByWeightAndKey(t *testing.T) {
 	is := is.New(t)
 	r := cataloger.Rule{Shares: []cataloger.Share{{Group: "a", Weight: 90}, {Group: "b", Weight: 10}}}
 	n := map[string]int{}
--- a/internal/cataloger/errors.go
+++ b/internal/cataloger/errors.go
@@ -2,5 +2,5 @@
 
 import "github.com/cockroachdb/errors"
 
-// ErrCatalog marks a catalog that can't be used. The message names the entry.
-var ErrCatalog = errors.New("the catalog is not valid")
+// ErrCatalog marks a document that no catalog can be made from. The message names the entry.
+var ErrCatalog = errors.New("invalid catalog")
--- a/internal/cataloger/rule.go
+++ b/internal/cataloger/rule.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Kind says what may be done with a call when its answer does not come.
+// Kind determines whether a call may be sent again after a failure.
 type Kind int
 
 // The kinds of call.
 const (
-	// Once calls run at most once.
+	// Once is for calls that run at most once.
 	Once Kind = iota
-	// Idempotent calls may run again.
+	// Idempotent is for calls that may run again.
 	Idempotent
-	// Stream calls are answered by events as they are made.
+	// Stream is for calls that are answered with a stream of events.
 	Stream
 )
 
@@ -29,49 +29,50 @@
 	}
 }
 
-// Rule sends the calls of a host and a path prefix to groups of targets.
+// Rule routes the calls of a host and a path prefix to groups of targets.
 type Rule struct {
 	Name string
-	// Host is the name that callers use; Prefix begins and ends with a slash.
+	// Host is the host name that callers use, in any case; Prefix begins and ends with a slash.
 	Host   string
 	Prefix string
 	Kind   Kind
-	// Resumable says that a broken stream may go on at another target after the
-	// last event that was passed on.
+	// Resumable is set when a broken stream may continue at another target after the last
+	// event that was forwarded.
 	Resumable bool
-	// Public says that no key is asked for.
+	// Public is set when callers need no key.
 	Public bool
-	// Longest is the longest time that a call may be kept; zero sets no bound.
-	Longest time.Duration
-	// Latency is the time within which an answer, or the first event of a
-	// stream, is of full use to the caller. Zero sets none.
+	// Timeout is the timeout of a call; zero sets none.
+	Timeout time.Duration
+	// Latency is the latency objective: the time within which an answer, or the first event
+	// of a stream, is of full use to the caller. Zero sets none.
 	Latency time.Duration
-	// Pause is the longest time between two events that is of full use.
-	Pause time.Duration
-	// Attempts is to how many targets one call may be sent, at least one.
+	// MaxEventGap is the longest time between two events of a stream that is of full use to the
+	// caller. Zero sets none.
+	MaxEventGap time.Duration
+	// Attempts is the most attempts of one call, at least one.
 	Attempts int
-	// Priority is the rank of the calls; zero is the most urgent.
+	// Priority is the priority class of the calls; zero is the most urgent.
 	Priority int
-	// Regions are those whose targets may run the calls; none means all.
+	// Regions are the regions whose targets may run the calls; none means all.
 	Regions []string
-	// Shares are the groups that the calls are split between.
+	// Shares are the groups that the calls are split between by weight.
 	Shares []Share
 }
 
-// Share is the part of a rule's calls that goes to a group.
+// Share is a group with its weight in the split of a rule's calls.
 type Share struct {
 	Group  string
 	Weight int
 }
 
-// Repeatable says that a call of the rule may run more than once.
+// Repeatable reports whether a call of the rule may run more than once.
 func (r *Rule) Repeatable() bool {
 	return r.Kind == Idempotent || r.Kind == Stream && r.Resumable
 }
 
-// Group returns the group that a call goes to. The calls with the same key go to
-// the same group for as long as the shares stand, so that those that share a
-// prompt prefix find it cached.
+// Group returns the group for a call with a key, such as a hash. Calls with the same key are
+// assigned to the same group until the shares change, so that calls with a common prompt
+// prefix find it cached.
 func (r *Rule) Group(key uint64) string {
 	n := 0
 	for _, s := range r.Shares {
@@ -82,7 +83,7 @@
 		return r.Shares[0].Group
 	}
 
-	k := int(key % uint64(n)) //nolint:gosec // Below n.
+	k := int(key % uint64(n)) //nolint:gosec // Less than n.
 	for _, s := range r.Shares {
 		if k -= s.Weight; k < 0 {
 			return s.Group
--- a/internal/claimer/claimer.go
+++ b/internal/claimer/claimer.go
@@ -1,36 +1,35 @@
-// Package claimer decides who may run a call that must not be repeated.
+// Package claimer determines which claim on an idempotency key may run its call.
 //
-// It folds one partition of the claims stream in the order of its offsets. The
-// first claim on a key by offset holds it, whatever the routers believed when
-// they appended; so two routers that both take themselves for the partition's
-// home can't both win.
+// It applies the records of one partition of the claims stream in offset order. The claim
+// with the lowest offset acquires the key, so two routers that both consider themselves the
+// partition's home (home node) can't both win.
 //
-// The idea of writing the intent down before acting on it, so that a crash
-// leaves a decision that others can read, is that of the note "Commit the
-// Intent, Then Touch the Cluster"; the log takes the place of its database.
+// A router appends its claim before it sends the call (write-ahead intent), so that after
+// a crash other routers can read that the call may have run. See the note "Commit the
+// Intent, Then Touch the Cluster"; here the log replaces its database.
 package claimer
 
 import "time"
 
-// Outcome is how a call under a key stands.
+// Outcome is the state of the call under a key.
 type Outcome uint8
 
-// The outcomes.
+// The outcomes of a claim.
 const (
 	// Unclaimed means that no claim on the key is known.
 	Unclaimed Outcome = iota
-	// Won means that the asking claim holds the key and may send.
+	// Won means that the requester's claim holds the key, so that its call may be sent.
 	Won
 	// InProgress means that another claim holds the key and may still run.
 	InProgress
 	// Ran means that the call ran and its answer is recorded.
 	Ran
-	// Unknown means that the claim's holder left no record in time: the call
-	// may have run or not, and is never run again.
+	// Unknown means that the holder recorded no result within the claim's lifetime: the call
+	// may have run, so it is never run again.
 	Unknown
 	// Mismatch means that the key was claimed for another request body.
 	Mismatch
-	// NotRun releases the key: its holder did not send.
+	// NotRun releases the key: its holder did not send the call.
 	NotRun
 )
 
@@ -44,20 +43,20 @@
 	Status      int
 	ContentType string
 	Body        []byte
-	// Truncated says that the answer was too long to record.
+	// Truncated is set when the body was too long to record.
 	Truncated bool
 }
 
-// Record is one entry of a claims stream: a claim, or how it was settled.
+// Record is one entry of a claims stream: a claim, or the settlement of one.
 type Record struct {
 	Key uint64
-	// ID is the claim's own number.
+	// ID identifies the claim.
 	ID uint64
-	// Body is the hash of the request's body. Only claims carry it.
+	// Body is the hash of the request body; zero in settlements.
 	Body uint64
-	// Lifetime is how long after its append the holder may still run the call.
+	// Lifetime is how long after the claim's append its call may still run; zero in settlements.
 	Lifetime time.Duration
-	// Settled is Ran, Unknown or NotRun on the record that settles a claim.
+	// Settled is Ran, Unknown or NotRun in a settlement; Unclaimed in a claim.
 	Settled Outcome
 	Answer  *Answer
 }
@@ -71,28 +70,28 @@
 	answer   Answer
 }
 
-// Claimer holds the claims of one partition. It is not safe for concurrent use.
+// Claimer tracks the claims of one partition. It is not safe for concurrent use.
 type Claimer struct {
-	window time.Duration
-	claims map[uint64]*claim
-	next   uint64
+	window     time.Duration
+	claims     map[uint64]*claim
+	nextOffset uint64
 }
 
-// New returns a Claimer that keeps a key for the given time after its claim,
-// which must be less than the log's retention. A key that comes later is taken
-// for a new one; callers are told the window in the operators' page.
+// New returns a Claimer without claims. It retains a key for the window after its claim. The
+// window must be shorter than the log's retention. A key that is repeated after the window
+// counts as new; the operators' page documents the window for callers.
 func New(window time.Duration) *Claimer {
 	return &Claimer{window: window, claims: make(map[uint64]*claim)}
 }
 
-// Fold takes the record at an offset, which the log appended at a time by its
-// own clock. Records that were folded already are ignored.
-func (c *Claimer) Fold(offset uint64, appended time.Time, r Record) {
-	if offset < c.next {
+// Apply applies the record at an offset with its append time by the log's clock. Records that
+// were applied already are ignored.
+func (c *Claimer) Apply(offset uint64, appended time.Time, r Record) {
+	if offset < c.nextOffset {
 		return
 	}
 
-	c.next = offset + 1
+	c.nextOffset = offset + 1
 	o, ok := c.claims[r.Key]
 
 	if r.Settled == Unclaimed {
@@ -103,8 +102,8 @@
 		return
 	}
 
-	// Only the claim that holds the key settles it: a claim that lost, or one
-	// that was released, must not overwrite the answer of the one that ran.
+	// Only the claim that holds the key may settle it: a claim that lost or was released must
+	// not overwrite the answer of the claim that ran.
 	if !ok || o.id != r.ID || o.settled == Ran {
 		return
 	}
@@ -115,10 +114,10 @@
 	}
 }
 
-// Look says how a call stands for the claim with an ID and a body at a time by
-// the log's clock, with the recorded answer if it ran, or how long the holder
-// may still take if it is in progress.
-func (c *Claimer) Look(now time.Time, key, id, body uint64) (Outcome, Answer, time.Duration) {
+// Lookup returns the outcome for the claim with an ID and a body hash at a time by the log's
+// clock. It also returns the recorded answer if the call ran, and the remaining lifetime of
+// the holder's claim if the call is in progress.
+func (c *Claimer) Lookup(now time.Time, key, id, body uint64) (Outcome, Answer, time.Duration) {
 	o, ok := c.claims[key]
 	if !ok || o.settled == NotRun {
 		return Unclaimed, Answer{}, 0
@@ -138,9 +137,8 @@
 	}
 }
 
-// Expire drops the keys whose window is over at a time by the log's clock. A key
-// whose call may still run stays, however short the window: dropped, it would be
-// free for a second run.
+// Expire drops the keys whose window has passed at a time by the log's clock. It retains keys
+// whose calls may still run, also beyond the window: a dropped key would permit a second run.
 func (c *Claimer) Expire(now time.Time) {
 	for k, o := range c.claims {
 		if now.Sub(o.appended) > c.window && !now.Before(o.ends) {
@@ -149,7 +147,7 @@
 	}
 }
 
-// Len returns how many keys are held.
+// Len returns the number of keys that are retained.
 func (c *Claimer) Len() int {
 	return len(c.claims)
 }
--- a/internal/claimer/claimer_test.go
+++ b/internal/claimer/claimer_test.go
@@ -11,7 +11,7 @@
 	"github.com/auburntray/auburntray/internal/claimer"
 )
 
-// Random tests draw the same each run.
+// Fixes the seed, so that random tests draw the same values in each run.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
 const lifetime = 10 * time.Second
@@ -24,7 +24,7 @@
 	return claimer.Record{Key: 1, ID: id, Settled: o, Answer: &claimer.Answer{Status: 200, Body: []byte("booked")}}
 }
 
-func TestLook(t *testing.T) {
+func TestLookup(t *testing.T) {
 	for name, tc := range map[string]struct {
 		records []claimer.Record
 		id      uint64
@@ -32,20 +32,20 @@
 		after   time.Duration
 		want    claimer.Outcome
 	}{
-		"a key nobody claimed":                       {nil, 1, 5, 0, claimer.Unclaimed},
-		"the first claim by offset wins":             {[]claimer.Record{claim(1), claim(2)}, 1, 5, 0, claimer.Won},
-		"the second does not":                        {[]claimer.Record{claim(1), claim(2)}, 2, 5, 0, claimer.InProgress},
-		"the same claim twice is one claim":          {[]claimer.Record{claim(1), claim(1)}, 1, 5, 0, claimer.Won},
-		"a repeat gets the recorded answer":          {[]claimer.Record{claim(1), settle(1, claimer.Ran)}, 2, 5, time.Hour, claimer.Ran},
-		"the loser can't settle":                     {[]claimer.Record{claim(1), claim(2), settle(2, claimer.NotRun)}, 3, 5, 0, claimer.InProgress},
-		"another body is another call":               {[]claimer.Record{claim(1)}, 2, 6, 0, claimer.Mismatch},
-		"the holder died":                            {[]claimer.Record{claim(1)}, 2, 5, lifetime, claimer.Unknown},
-		"a released key can be claimed":              {[]claimer.Record{claim(1), settle(1, claimer.NotRun)}, 2, 5, 0, claimer.Unclaimed},
-		"and the next claim wins it":                 {[]claimer.Record{claim(1), settle(1, claimer.NotRun), claim(2)}, 2, 5, 0, claimer.Won},
-		"the released claim is not won again":        {[]claimer.Record{claim(1), settle(1, claimer.NotRun), claim(2)}, 1, 5, 0, claimer.InProgress},
-		"what ran is not released later":             {[]claimer.Record{claim(1), settle(1, claimer.Ran), settle(1, claimer.NotRun)}, 2, 5, 0, claimer.Ran},
-		"a late record turns unknown into its truth": {[]claimer.Record{claim(1), settle(1, claimer.Unknown), settle(1, claimer.Ran)}, 2, 5, time.Hour, claimer.Ran},
-		"a settlement without its claim is nothing":  {[]claimer.Record{settle(1, claimer.Ran)}, 2, 5, 0, claimer.Unclaimed},
+		"unclaimed key":                         {nil, 1, 5, 0, claimer.Unclaimed},
+		"claim with the lowest offset wins":     {[]claimer.Record{claim(1), claim(2)}, 1, 5, 0, claimer.Won},
+		"later claim is in progress":            {[]claimer.Record{claim(1), claim(2)}, 2, 5, 0, claimer.InProgress},
+		"duplicate of a claim counts once":      {[]claimer.Record{claim(1), claim(1)}, 1, 5, 0, claimer.Won},
+		"repeat receives the recorded answer":   {[]claimer.Record{claim(1), settle(1, claimer.Ran)}, 2, 5, time.Hour, claimer.Ran},
+		"losing claim can't settle":             {[]claimer.Record{claim(1), claim(2), settle(2, claimer.NotRun)}, 3, 5, 0, claimer.InProgress},
+		"different body is a mismatch":          {[]claimer.Record{claim(1)}, 2, 6, 0, claimer.Mismatch},
+		"holder crashed":                        {[]claimer.Record{claim(1)}, 2, 5, lifetime, claimer.Unknown},
+		"released key is unclaimed":             {[]claimer.Record{claim(1), settle(1, claimer.NotRun)}, 2, 5, 0, claimer.Unclaimed},
+		"released key is won by the next claim": {[]claimer.Record{claim(1), settle(1, claimer.NotRun), claim(2)}, 2, 5, 0, claimer.Won},
+		"released claim does not win again":     {[]claimer.Record{claim(1), settle(1, claimer.NotRun), claim(2)}, 1, 5, 0, claimer.InProgress},
+		"recorded answer is not released":       {[]claimer.Record{claim(1), settle(1, claimer.Ran), settle(1, claimer.NotRun)}, 2, 5, 0, claimer.Ran},
+		"late answer replaces unknown":          {[]claimer.Record{claim(1), settle(1, claimer.Unknown), settle(1, claimer.Ran)}, 2, 5, time.Hour, claimer.Ran},
+		"settlement without a claim is ignored": {[]claimer.Record{settle(1, claimer.Ran)}, 2, 5, 0, claimer.Unclaimed},
 	} {
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
@@ -53,10 +53,10 @@
 			now := time.Unix(1000, 0)
 
 			for n, r := range tc.records {
-				c.Fold(uint64(n), now, r)
+				c.Apply(uint64(n), now, r)
 			}
 
-			o, a, _ := c.Look(now.Add(tc.after), 1, tc.id, tc.body)
+			o, a, _ := c.Lookup(now.Add(tc.after), 1, tc.id, tc.body)
 			i.Equal(o, tc.want)
 
 			if o == claimer.Ran {
@@ -66,34 +66,33 @@
 	}
 }
 
-func TestExpireDropsWhatIsPastTheWindow(t *testing.T) {
+func TestExpireDropsKeysPastTheWindow(t *testing.T) {
 	i := is.New(t)
 	c := claimer.New(time.Minute)
 	now := time.Unix(1000, 0)
-	c.Fold(0, now, claim(1))
+	c.Apply(0, now, claim(1))
 	c.Expire(now.Add(time.Minute))
 	i.Equal(c.Len(), 1)
 	c.Expire(now.Add(time.Minute + time.Second))
 	i.Equal(c.Len(), 0)
 }
 
-// A call may take longer than its key is remembered. Forgotten while it runs, the
-// key would let a repeat run it again.
-func TestExpireKeepsWhatMayStillRun(t *testing.T) {
+// Guards against a second run of a call that takes longer than the window: its key must not
+// be dropped while the call may still run.
+func TestExpireRetainsKeysOfRunningCalls(t *testing.T) {
 	i := is.New(t)
 	c := claimer.New(time.Second)
 	now := time.Unix(1000, 0)
-	c.Fold(0, now, claim(1))
+	c.Apply(0, now, claim(1))
 	c.Expire(now.Add(lifetime - time.Second))
 
-	o, _, _ := c.Look(now.Add(lifetime-time.Second), 1, 2, 5)
+	o, _, _ := c.Lookup(now.Add(lifetime-time.Second), 1, 2, 5)
 	i.Equal(o, claimer.InProgress)
 }
 
-// Routers that disagree claim one key through different homes, append twice
-// when replies are lost, and release claims they gave up. Whoever reads the
-// stream to its end finds at most one claim that may send, and once the call
-// ran, none that may.
+// Guards against a call that runs twice. Routers that disagree on the home claim one key
+// through different homes, append twice when replies are lost, and release abandoned claims.
+// At most one claim may hold the key at any offset, and none once the call has run.
 func TestAtMostOneClaimWins(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := claimer.New(time.Hour)
@@ -102,46 +101,46 @@
 
 		for n := range rapid.IntRange(1, 60).Draw(t, "records") {
 			id := rapid.Uint64Range(1, 5).Draw(t, "id")
-			won, _, _ := c.Look(now, 1, id, 5)
+			won, _, _ := c.Lookup(now, 1, id, 5)
 
 			r := claim(id)
 			if rapid.Bool().Draw(t, "settles") {
 				r = settle(id, rapid.SampledFrom([]claimer.Outcome{claimer.Ran, claimer.Unknown, claimer.NotRun}).Draw(t, "outcome"))
 			}
 
-			// Only a holder settles with an answer: it sent, because it had won.
+			// Only the holder records an answer, since only it sends the call.
 			if r.Settled == claimer.Ran && won != claimer.Won {
 				continue
 			}
 
 			ran = ran || r.Settled == claimer.Ran
-			c.Fold(uint64(n), now, r)
-			c.Fold(uint64(n), now, r) // a replay changes nothing
+			c.Apply(uint64(n), now, r)
+			c.Apply(uint64(n), now, r) // A replay has no effect.
 
 			holders := 0
 
 			for id := uint64(1); id <= 5; id++ {
-				if o, _, _ := c.Look(now, 1, id, 5); o == claimer.Won {
+				if o, _, _ := c.Lookup(now, 1, id, 5); o == claimer.Won {
 					holders++
 				}
 			}
 
 			if holders > 1 || (ran && holders > 0) {
-				t.Fatalf("%d claims may send, ran %v", holders, ran)
+				t.Fatalf("%d claims hold the key, want at most 1, or 0 after the call ran (ran: %v)", holders, ran)
 			}
 		}
 	})
 }
 
-// BenchmarkFold gives the memory of a remembered key: its claim and its record.
-func BenchmarkFold(b *testing.B) {
+// BenchmarkApply measures the memory per retained key: its claim and its settlement.
+func BenchmarkApply(b *testing.B) {
 	c := claimer.New(time.Hour)
 	now := time.Unix(1000, 0)
 	k := uint64(0)
 
 	for b.Loop() {
 		k++
-		c.Fold(2*k, now, claimer.Record{Key: k, ID: k, Body: k, Lifetime: lifetime})
-		c.Fold(2*k+1, now, claimer.Record{Key: k, ID: k, Settled: claimer.Ran, Answer: &claimer.Answer{Status: 200}})
+		c.Apply(2*k, now, claimer.Record{Key: k, ID: k, Body: k, Lifetime: lifetime})
+		c.Apply(2*k+1, now, claimer.Record{Key: k, ID: k, Settled: claimer.Ran, Answer: &claimer.Answer{Status: 200}})
 	}
 }
--- a/internal/commander/held_test.go
+++ b/internal/commander/held_test.go
@@ -14,7 +14,7 @@
 	"github.com/sirupsen/logrus"
 
 	"github.com/auburntray/auburntray/internal/digester"
-	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/discoverer"
 	"github.com/auburntray/auburntray/internal/gossiper"
 	"github.com/auburntray/auburntray/internal/messenger"
 	"github.com/auburntray/auburntray/internal/quarantiner"
@@ -45,7 +45,7 @@
 	m.Serve()
 
 	for i := range 3 {
-		w.Ended(digester.Digest(0xab), enroller.Name(i))
+		w.Ended(digester.Digest(0xab), discoverer.Name(i))
 		time.Sleep(time.Millisecond)
 	}
 
--- /dev/null
+++ b/internal/discoverer/discoverer_test.go
@@ -0,0 +1,106 @@
+package discoverer_test
+
+import (
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"github.com/auburntray/auburntray/internal/discoverer"
+)
+
+func listed(ids ...string) []discoverer.Target {
+	var o []discoverer.Target
+	for _, id := range ids {
+		o = append(o, discoverer.Target{ID: id, Group: "g"})
+	}
+
+	return o
+}
+
+func names(e *discoverer.Discoverer) []string {
+	o := []string{}
+	for _, t := range e.Registry().Groups["g"] {
+		o = append(o, t.ID)
+	}
+
+	return o
+}
+
+func TestLeaving(t *testing.T) {
+	b := time.Unix(1000, 0)
+
+	for name, x := range map[string]struct {
+		change func(e *discoverer.Discoverer)
+		want   []string
+	}{
+		"draining": {
+			func(e *discoverer.Discoverer) { e.Set(discoverer.Target{ID: "a", Group: "g", Draining: true}) },
+			[]string{"b"},
+		},
+		"removed without draining": {
+			func(e *discoverer.Discoverer) { e.Remove(b, "a") },
+			[]string{"b"},
+		},
+		"missing from the complete list": {
+			func(e *discoverer.Discoverer) { e.Reset(b, listed("b", "c")) },
+			[]string{"b", "c"},
+		},
+		"removed twice": {
+			func(e *discoverer.Discoverer) { e.Remove(b, "a"); e.Remove(b, "a") },
+			[]string{"b"},
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			is := is.New(t)
+			e := discoverer.New(discoverer.DefaultSettings())
+			e.Reset(b, listed("a", "b"))
+			x.change(e)
+			is.Equal(names(e), x.want)
+		})
+	}
+}
+
+// Guards against refused calls after an outage of the platform: the entries of all targets expired
+// during the outage, their removals arrive all at once after it, and the targets register again a
+// second later.
+func TestEntriesExpiredDuringAnOutageAreHeld(t *testing.T) {
+	is := is.New(t)
+	b := time.Unix(1000, 0)
+	e := discoverer.New(discoverer.DefaultSettings())
+	e.Reset(b, listed("a", "b"))
+
+	e.RecordOutage(b, 5*time.Second)
+	is.True(!e.Remove(b.Add(10*time.Millisecond), "a"))
+	is.True(!e.Remove(b.Add(10*time.Millisecond), "b"))
+	is.Equal(names(e), []string{"a", "b"})
+
+	e.Set(discoverer.Target{ID: "a", Group: "g"})
+	is.Equal(len(e.ExpireHeld(b.Add(1900*time.Millisecond))), 0)
+	is.Equal(e.ExpireHeld(b.Add(2*time.Second)), []string{"b"})
+	is.Equal(names(e), []string{"a"})
+}
+
+// Guards against calls to a target in the two seconds after it left: the instance missed a few reads,
+// and must not treat the removal as one due to an outage and hold the entry for the grace.
+func TestEntriesAreNotHeldAfterAShortOutage(t *testing.T) {
+	is := is.New(t)
+	b := time.Unix(1000, 0)
+	e := discoverer.New(discoverer.DefaultSettings())
+	e.Reset(b, listed("a", "b"))
+
+	e.RecordOutage(b, 700*time.Millisecond)
+	is.True(e.Remove(b.Add(10*time.Millisecond), "a"))
+	is.Equal(names(e), []string{"b"})
+}
+
+func TestRegistryKnowsDrainingTargets(t *testing.T) {
+	is := is.New(t)
+	e := discoverer.New(discoverer.DefaultSettings())
+	e.Set(discoverer.Target{ID: "a", Group: "g", Draining: true})
+
+	_, ok := e.Registry().Known["a"]
+	is.True(ok)
+	is.Equal(len(e.Registry().Names), 1)
+	is.Equal(len(e.Registry().Groups), 0)
+}
--- /dev/null
+++ b/internal/discoverer/registry.go
@@ -0,0 +1,126 @@
+package discoverer
+
+import (
+	"maps"
+	"slices"
+	"sort"
+	"time"
+)
+
+// Registry is a snapshot of the known targets. It is immutable and safe for concurrent use.
+type Registry struct {
+	// Groups holds the targets that accept new calls by group, in the order of their IDs.
+	Groups map[string][]*Target
+	// Closed holds the targets by group that would accept new calls if their data centres were not
+	// evacuated.
+	Closed map[string][]*Target
+	// Reopened holds the times when evacuations of data centres ended. Their targets may have
+	// become cold meanwhile, which the list shows only later.
+	Reopened map[string]time.Time
+	// Known holds all targets by ID, including those that are leaving.
+	Known map[string]*Target
+	// Processes holds all targets by the keys of their processes.
+	Processes map[Key]*Target
+	// Names holds the targets by the names of their processes, except for names that several
+	// targets share.
+	Names map[Name]*Target
+}
+
+// FilterGroups returns the registry of the targets whose groups satisfy a condition. It returns the same
+// registry when all do.
+func (r *Registry) FilterGroups(named func(group string) bool) *Registry {
+	l := make([]*Target, 0, len(r.Known))
+
+	for _, t := range r.Known {
+		if named(t.Group) {
+			l = append(l, t)
+		}
+	}
+
+	if len(l) == len(r.Known) {
+		return r
+	}
+
+	return newRegistry(l)
+}
+
+// WithEvacuated returns a registry in which the targets of closed data centres accept no new calls, with
+// the times at which data centres were reopened. Targets of closed data centres remain known, so that
+// cached prompts can still be fetched from them.
+func (r *Registry) WithEvacuated(closed func(centre string) bool, reopened map[string]time.Time) *Registry {
+	o := *r
+	o.Groups, o.Closed, o.Reopened = maps.Clone(r.Groups), make(map[string][]*Target), reopened
+
+	for n, l := range r.Groups {
+		out := func(t *Target) bool { return closed(t.DataCentre) }
+		if !slices.ContainsFunc(l, out) {
+			continue
+		}
+
+		for _, t := range l {
+			if out(t) {
+				o.Closed[n] = append(o.Closed[n], t)
+			}
+		}
+
+		if o.Groups[n] = slices.DeleteFunc(slices.Clone(l), out); len(o.Groups[n]) == 0 {
+			delete(o.Groups, n)
+		}
+	}
+
+	return &o
+}
+
+// AcceptsCalls reports whether a target still accepts new calls: its process is on the list with the same
+// address and group, is not leaving, and its data centre is not evacuated.
+func (r *Registry) AcceptsCalls(t *Target) bool {
+	x, ok := r.Processes[t.Key()]
+
+	return ok && !x.Moved(t) && slices.Contains(r.Groups[x.Group], x)
+}
+
+// HasLeaving reports whether any target of a group is leaving.
+func (r *Registry) HasLeaving(group string) bool {
+	for _, t := range r.Known {
+		if t.Group == group && t.IsLeaving() {
+			return true
+		}
+	}
+
+	return false
+}
+
+// newRegistry returns the registry of the given targets.
+func newRegistry(l []*Target) *Registry {
+	r := &Registry{
+		Groups: make(map[string][]*Target), Known: make(map[string]*Target, len(l)),
+		Processes: make(map[Key]*Target, len(l)), Names: make(map[Name]*Target, len(l)),
+	}
+	shared := make(map[Name]bool)
+
+	for _, t := range l {
+		n := t.key.Name()
+
+		if r.Names[n] != nil {
+			shared[n] = true
+		}
+
+		r.Known[t.ID] = t
+		r.Processes[t.key] = t
+		r.Names[n] = t
+
+		if !t.IsLeaving() {
+			r.Groups[t.Group] = append(r.Groups[t.Group], t)
+		}
+	}
+
+	for n := range shared {
+		delete(r.Names, n)
+	}
+
+	for _, l := range r.Groups {
+		sort.Slice(l, func(a, b int) bool { return l[a].ID < l[b].ID })
+	}
+
+	return r
+}
--- a/internal/filterer/claim.go
+++ b/internal/filterer/claim.go
@@ -28,7 +28,7 @@
 
 // claims claims idempotency keys and records the outcomes of their calls.
 type claims interface {
-	Claim(c context.Context, q registrar.Claim) (registrar.Standing, error)
+	Claim(c context.Context, q registrar.Claim) (registrar.Status, error)
 	Settle(c context.Context, q registrar.Claim, o claimer.Outcome, a claimer.Answer) error
 }
 
@@ -52,10 +52,10 @@
 	}
 
 	q := registrar.Claim{
-		Key:    hasher.Key(x.Customer, x.Key),
-		Body:   hasher.Key(x.Request.Method, x.Request.URL.RequestURI(), string(x.Body)),
-		ID:     rand.Uint64(), //nolint:gosec // Not a secret.
-		Within: time.Until(x.Deadline),
+		Key:     hasher.Key(x.Customer, x.Key),
+		Body:    hasher.Key(x.Request.Method, x.Request.URL.RequestURI(), string(x.Body)),
+		ID:      rand.Uint64(), //nolint:gosec // Not a secret.
+		Timeout: time.Until(x.Deadline),
 	}
 
 	f.Counter.Add(counter.Claims, 1)
@@ -76,7 +76,7 @@
 }
 
 // answerRepeat answers a call whose key was claimed by another call.
-func (f Claim) answerRepeat(x *exchanger.Exchange, s registrar.Standing) error {
+func (f Claim) answerRepeat(x *exchanger.Exchange, s registrar.Status) error {
 	switch s.Outcome {
 	case claimer.Ran:
 		if s.Answer.Truncated {
--- a/internal/filterer/filterer_test.go
+++ b/internal/filterer/filterer_test.go
@@ -58,10 +58,10 @@
 	stalled bool
 }
 
-func (w *fakeDeps) Claim(context.Context, registrar.Claim) (registrar.Standing, error) {
+func (w *fakeDeps) Claim(context.Context, registrar.Claim) (registrar.Status, error) {
 	time.Sleep(w.claimDelay)
 
-	return registrar.Standing{Outcome: w.claimOutcome, Answer: claimer.Answer{Status: 200, Body: []byte("recorded")}}, w.claimErr
+	return registrar.Status{Outcome: w.claimOutcome, Answer: claimer.Answer{Status: 200, Body: []byte("recorded")}}, w.claimErr
 }
 
 func (w *fakeDeps) Settle(_ context.Context, _ registrar.Claim, o claimer.Outcome, _ claimer.Answer) error {
--- a/internal/filterer/isolate.go
+++ b/internal/filterer/isolate.go
@@ -9,7 +9,7 @@
 	"github.com/sirupsen/logrus"
 
 	"github.com/auburntray/auburntray/internal/digester"
-	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/discoverer"
 	"github.com/auburntray/auburntray/internal/exchanger"
 	"github.com/auburntray/auburntray/internal/hasher"
 	"github.com/auburntray/auburntray/internal/matcher"
@@ -29,7 +29,7 @@
 // quarantine records which calls were running on targets that crashed, for all routers.
 type quarantine interface {
 	Try(c context.Context, d digester.Digest, deadline time.Time) (quarantiner.Verdict, bool, func())
-	Ended(d digester.Digest, p enroller.Name) quarantiner.Verdict
+	Ended(d digester.Digest, p discoverer.Name) quarantiner.Verdict
 	Served(d digester.Digest)
 }
 
@@ -118,8 +118,8 @@
 
 // processName returns a name for the process of a target that has just crashed. It is the
 // same for all routers that notice the crash within one crashWindow.
-func processName(t *matcher.Target, now time.Time) enroller.Name {
+func processName(t *matcher.Target, now time.Time) discoverer.Name {
 	k := hasher.Mix(uint64(t.ID), uint64(now.Truncate(crashWindow).UnixMilli()))
 
-	return enroller.Name(uint32(k)) //nolint:gosec // The name is the low half of the hash.
+	return discoverer.Name(uint32(k)) //nolint:gosec // The name is the low half of the hash.
 }
--- a/internal/filterer/send.go
+++ b/internal/filterer/send.go
@@ -67,8 +67,8 @@
 	h := sender.Report(r.Header)
 	s.Slots.Report(x.Place, h.Requests, h.State)
 
-	if h.Rest > 0 && r.StatusCode == http.StatusServiceUnavailable {
-		s.Slots.Rest(x.Place, h.Rest)
+	if h.Backoff > 0 && r.StatusCode == http.StatusServiceUnavailable {
+		s.Slots.Rest(x.Place, h.Backoff)
 	}
 
 	return s.status(x, r)
--- a/internal/forwarder/attempt.go
+++ b/internal/forwarder/attempt.go
@@ -146,7 +146,7 @@
 	switch {
 	case len(r.Groups[x.group]) == 0 && len(r.Closed[x.group]) > 0:
 		return refuse(http.StatusServiceUnavailable, Evacuated, evacuatedWait, "all data centres with targets are evacuated")
-	case len(r.Groups[x.group]) == 0 && r.Leaves(x.group):
+	case len(r.Groups[x.group]) == 0 && r.HasLeaving(x.group):
 		return refuse(http.StatusServiceUnavailable, TargetsLeaving, leavingWait, "all targets are shutting down")
 	case backoff > 0:
 		return refuse(http.StatusServiceUnavailable, TargetsBackingOff, afterSpread(backoff), "all targets have requested a backoff")
--- a/internal/forwarder/client.go
+++ b/internal/forwarder/client.go
@@ -13,7 +13,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/discoverer"
 	"github.com/auburntray/auburntray/internal/prober"
 )
 
@@ -75,7 +75,7 @@
 
 // send sends a call to a target and returns the answer with its body unread. It fails with
 // errNotSent if provably nothing was sent, otherwise with errBroken.
-func (k *client) send(c context.Context, x *exchange, t *enroller.Target, h http.Header) (*http.Response, error) {
+func (k *client) send(c context.Context, x *exchange, t *discoverer.Target, h http.Header) (*http.Response, error) {
 	u, err := url.ParseRequestURI(x.request.RequestURI)
 	if err != nil {
 		return nil, errors.Mark(err, errNotSent)
--- a/internal/forwarder/cold_test.go
+++ b/internal/forwarder/cold_test.go
@@ -25,7 +25,7 @@
 
 	x := *g.state.Registry().Known["t0"]
 	x.Cold = time.Minute
-	g.setTargets(x.Seen(time.Now(), nil))
+	g.setTargets(x.WithReadTime(time.Now(), nil))
 
 	for k := range 8 {
 		o := g.call(t, http.MethodGet, "/once/", "")
--- a/internal/forwarder/connectivity.go
+++ b/internal/forwarder/connectivity.go
@@ -7,7 +7,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/discoverer"
 	"github.com/auburntray/auburntray/internal/selector"
 )
 
@@ -72,7 +72,7 @@
 }
 
 // probeTarget connects to a target, records the outcome and closes the connection.
-func (f *Forwarder) probeTarget(c context.Context, t *enroller.Target) {
+func (f *Forwarder) probeTarget(c context.Context, t *discoverer.Target) {
 	b := time.Now()
 
 	f.mu.Lock()
--- a/internal/forwarder/evacuation_test.go
+++ b/internal/forwarder/evacuation_test.go
@@ -10,7 +10,7 @@
 	"github.com/matryer/is"
 
 	"github.com/auburntray/auburntray/internal/aggregator"
-	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/discoverer"
 	"github.com/auburntray/auburntray/internal/reserver"
 )
 
@@ -21,9 +21,9 @@
 		c[x] = true
 	}
 
-	r := g.enroller.Roster()
+	r := g.enroller.Registry()
 	if len(c) > 0 {
-		r = r.Evacuated(func(x string) bool { return c[x] }, nil)
+		r = r.WithEvacuated(func(x string) bool { return c[x] }, nil)
 	}
 
 	g.state.mu.Lock()
@@ -34,15 +34,15 @@
 }
 
 // hookReserver grants a slot to each call after running a function.
-type hookReserver func(t *enroller.Target)
+type hookReserver func(t *discoverer.Target)
 
-func (h hookReserver) Reserve(_ context.Context, t *enroller.Target, _ aggregator.Request) (aggregator.Verdict, reserver.Release) {
+func (h hookReserver) Reserve(_ context.Context, t *discoverer.Target, _ aggregator.Request) (aggregator.Verdict, reserver.Release) {
 	h(t)
 
 	return aggregator.Verdict{Outcome: aggregator.Granted, Calls: 1}, func(aggregator.Result, float64) {}
 }
 
-func (hookReserver) Report(*enroller.Target, int) {}
+func (hookReserver) Report(*discoverer.Target, int) {}
 
 // Guards against calls that reach an evacuated data centre, however the target was selected.
 func TestEvacuatedDataCentreReceivesNoCalls(t *testing.T) {
@@ -61,7 +61,7 @@
 		"evacuated during the reservation": {
 			path: "/once/", status: http.StatusOK, calls: []int{0, 1},
 			before: func(g *gateway) {
-				g.forwarder.SetReserver(hookReserver(func(*enroller.Target) { g.evacuate("dc0") }))
+				g.forwarder.SetReserver(hookReserver(func(*discoverer.Target) { g.evacuate("dc0") }))
 			},
 		},
 		"second attempt": {
--- a/internal/forwarder/fake_test.go
+++ b/internal/forwarder/fake_test.go
@@ -21,7 +21,7 @@
 
 	"github.com/auburntray/auburntray/internal/budgeter"
 	"github.com/auburntray/auburntray/internal/cataloger"
-	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/discoverer"
 	"github.com/auburntray/auburntray/internal/forwarder"
 	"github.com/auburntray/auburntray/internal/meter"
 	"github.com/auburntray/auburntray/internal/selector"
@@ -212,11 +212,11 @@
 	// synced is what Known returns once setCatalog has been called.
 	synced   chan struct{}
 	mu       sync.Mutex
-	registry *enroller.Roster
+	registry *discoverer.Registry
 	stale    bool
 	stalled  bool
 	// markLeaving is called with processes that announced their shutdown.
-	markLeaving func(p enroller.Process) bool
+	markLeaving func(p discoverer.Process) bool
 	// others is how many other instances there are.
 	others int
 }
@@ -242,12 +242,12 @@
 	}
 }
 
-func (f *clusterState) Fresh() bool                         { return !f.stale }
-func (f *clusterState) MarkLeaving(p enroller.Process) bool { return f.markLeaving(p) }
-func (f *clusterState) Instances() int                      { return 1 + f.others }
-func (f *clusterState) Stalled(time.Time) bool              { return f.stalled }
+func (f *clusterState) Fresh() bool                           { return !f.stale }
+func (f *clusterState) MarkLeaving(p discoverer.Process) bool { return f.markLeaving(p) }
+func (f *clusterState) Instances() int                        { return 1 + f.others }
+func (f *clusterState) Stalled(time.Time) bool                { return f.stalled }
 
-func (f *clusterState) Registry() *enroller.Roster {
+func (f *clusterState) Registry() *discoverer.Registry {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
@@ -276,14 +276,14 @@
 		{Name: "once", Prefix: "/once/", Kind: cataloger.Once, Attempts: 2},
 		{Name: "idempotent", Prefix: "/idempotent/", Kind: cataloger.Idempotent, Attempts: 2, Latency: 200 * time.Millisecond},
 		{Name: "stream", Prefix: "/stream/", Kind: cataloger.Stream, Attempts: 2},
-		{Name: "resumable", Prefix: "/resumable/", Kind: cataloger.Stream, Resumable: true, Attempts: 3, Latency: 200 * time.Millisecond, Pause: 50 * time.Millisecond},
+		{Name: "resumable", Prefix: "/resumable/", Kind: cataloger.Stream, Resumable: true, Attempts: 3, Latency: 200 * time.Millisecond, MaxEventGap: 50 * time.Millisecond},
 		{Name: "queued", Prefix: "/queued/", Kind: cataloger.Stream, Attempts: 1, Latency: 50 * time.Millisecond},
 		{Name: "public", Prefix: "/public/", Kind: cataloger.Once, Public: true, Attempts: 1},
 	}
 	for i := range l {
 		l[i].Host = "app.example"
 		l[i].Shares = []cataloger.Share{{Group: "g", Weight: 1}}
-		l[i].Longest = time.Second
+		l[i].Timeout = time.Second
 	}
 
 	return l
@@ -295,12 +295,12 @@
 
 	state     *clusterState
 	forwarder *forwarder.Forwarder
-	enroller  *enroller.Enroller
+	enroller  *discoverer.Discoverer
 }
 
 // setTargets adds or replaces targets in the list.
-func (g *gateway) setTargets(l ...enroller.Target) {
-	g.update(func(e *enroller.Enroller) {
+func (g *gateway) setTargets(l ...discoverer.Target) {
+	g.update(func(e *discoverer.Discoverer) {
 		for _, x := range l {
 			e.Set(x)
 		}
@@ -308,20 +308,20 @@
 }
 
 // markLeaving records that a process announced its shutdown.
-func (g *gateway) markLeaving(p enroller.Process) bool {
+func (g *gateway) markLeaving(p discoverer.Process) bool {
 	var o bool
 
-	g.update(func(e *enroller.Enroller) { o = e.Leave(time.Now(), p) })
+	g.update(func(e *discoverer.Discoverer) { o = e.MarkLeaving(time.Now(), p) })
 
 	return o
 }
 
 // update changes the registry and prunes the forwarder's state accordingly.
-func (g *gateway) update(u func(e *enroller.Enroller)) {
+func (g *gateway) update(u func(e *discoverer.Discoverer)) {
 	g.state.mu.Lock()
 	u(g.enroller)
 
-	r := g.enroller.Roster()
+	r := g.enroller.Registry()
 	g.state.registry = r
 	g.state.mu.Unlock()
 
@@ -329,7 +329,7 @@
 }
 
 // restarted returns a target's entry after a restart of its process.
-func (g *gateway) restarted(id string) enroller.Target {
+func (g *gateway) restarted(id string) discoverer.Target {
 	x := *g.state.Registry().Known[id]
 	x.Start = x.Start.Add(time.Second)
 
@@ -351,23 +351,23 @@
 	c, err := cataloger.New(cataloger.Document{
 		Version: 1, Rules: rules(), Groups: []cataloger.Group{{Name: "g"}},
 		Customers: []cataloger.Customer{{Name: "customer-1", Keys: []string{"key-1"}}},
-		Limits:    cataloger.Limits{Body: 1000, Header: 1000},
+		Limits:    cataloger.Limits{MaxBody: 1000, MaxHeader: 1000},
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 
-	e := enroller.New(enroller.DefaultSettings())
+	e := discoverer.New(discoverer.DefaultSettings())
 
 	for i, x := range l {
 		x.id = "t" + strconv.Itoa(i)
 		// Only the first target is in the gateway's data centre, so it is selected first.
-		e.Set(enroller.Target{
+		e.Set(discoverer.Target{
 			ID: x.id, Group: "g", Address: x.listen(t), DataCentre: "dc" + strconv.Itoa(i), Slots: 8, Start: time.UnixMilli(1_700_000_000_000),
 		})
 	}
 
-	f := &clusterState{catalog: c, registry: e.Roster()}
+	f := &clusterState{catalog: c, registry: e.Registry()}
 	x, stop := forwarder.New(forwarder.Settings{
 		DataCentre: "dc0", DefaultTimeout: time.Second, MaxBody: 1000, Regions: map[string]string{"dc0": "r0", "dc1": "r1"},
 	}, dialect{}, f,
--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -18,7 +18,7 @@
 	"github.com/auburntray/auburntray/internal/admitter"
 	"github.com/auburntray/auburntray/internal/budgeter"
 	"github.com/auburntray/auburntray/internal/cataloger"
-	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/discoverer"
 	"github.com/auburntray/auburntray/internal/meter"
 	"github.com/auburntray/auburntray/internal/selector"
 	"github.com/auburntray/auburntray/internal/sharder"
@@ -35,10 +35,10 @@
 	// exist.
 	Fresh() bool
 	// Registry returns the known targets.
-	Registry() *enroller.Roster
+	Registry() *discoverer.Registry
 	// MarkLeaving records that a process announced its shutdown, so that no calls are sent to it, and
 	// reports whether this was new.
-	MarkLeaving(p enroller.Process) bool
+	MarkLeaving(p discoverer.Process) bool
 	// Stalled reports whether this process was stalled at some time after since.
 	Stalled(since time.Time) bool
 	// Instances returns how many instances share the retry budget.
@@ -83,9 +83,9 @@
 	cutSince atomic.Pointer[time.Time]
 
 	// notifyGone notifies other instances that a process is gone.
-	notifyGone func(p enroller.Process)
+	notifyGone func(p discoverer.Process)
 	// notifyLeaving notifies other instances that a process announced its shutdown.
-	notifyLeaving func(p enroller.Process)
+	notifyLeaving func(p discoverer.Process)
 	// reserver reserves slots at the home nodes of targets; nil if slots are not reserved.
 	reserver SlotReserver
 	// quarantine records the calls that were running when targets crashed; nil disables it.
@@ -124,11 +124,11 @@
 	k := newClient(x)
 
 	return &Forwarder{
-		settings: s, dialect: d, state: f, tracer: t, client: k, chooser: c, budgeter: b, admitter: admitter.New(), notifyGone: func(enroller.Process) {}, notifyLeaving: func(enroller.Process) {},
+		settings: s, dialect: d, state: f, tracer: t, client: k, chooser: c, budgeter: b, admitter: admitter.New(), notifyGone: func(discoverer.Process) {}, notifyLeaving: func(discoverer.Process) {},
 		sharder: sharder.New(), sharded: make(map[string]bool),
 		meter: m, servedLogs: rate.NewLimiter(servedLogsPerSecond, servedLogsPerSecond),
 		rejectedLogs: rate.NewLimiter(rejectedLogsPerSecond, rejectedLogsPerSecond), stopping: make(chan struct{}),
-	}, func() { k.pool.prune(&enroller.Roster{}) }
+	}, func() { k.pool.prune(&discoverer.Registry{}) }
 }
 
 // Stop makes each answer from now on close its connection, so that callers continue at other
@@ -275,7 +275,7 @@
 
 // Prune discards the state of processes that a changed registry no longer lists, and closes the
 // idle connections to them.
-func (f *Forwarder) Prune(r *enroller.Roster) {
+func (f *Forwarder) Prune(r *discoverer.Registry) {
 	f.mu.Lock()
 	f.chooser.ApplyRegistry(time.Now(), r)
 	f.mu.Unlock()
@@ -300,7 +300,7 @@
 }
 
 // MarkGone applies a notification from another instance that processes of targets are gone.
-func (f *Forwarder) MarkGone(l []enroller.Process) {
+func (f *Forwarder) MarkGone(l []discoverer.Process) {
 	f.mu.Lock()
 
 	for _, p := range l {
@@ -315,13 +315,13 @@
 
 // OnGone sets the function that is called with a target's process that this instance finds gone. It
 // must be called before the first call is served.
-func (f *Forwarder) OnGone(g func(p enroller.Process)) {
+func (f *Forwarder) OnGone(g func(p discoverer.Process)) {
 	f.notifyGone = g
 }
 
 // MarkLeaving applies a notification from another instance that processes of targets announced
 // their shutdown.
-func (f *Forwarder) MarkLeaving(l []enroller.Process) {
+func (f *Forwarder) MarkLeaving(l []discoverer.Process) {
 	for _, p := range l {
 		if f.state.MarkLeaving(p) {
 			f.logLeaving(p, selector.Peer)
@@ -331,7 +331,7 @@
 
 // OnLeaving sets the function that is called with a target's process that announced its shutdown to
 // this instance. It must be called before the first call is served.
-func (f *Forwarder) OnLeaving(g func(p enroller.Process)) {
+func (f *Forwarder) OnLeaving(g func(p discoverer.Process)) {
 	f.notifyLeaving = g
 }
 
--- a/internal/forwarder/intake.go
+++ b/internal/forwarder/intake.go
@@ -53,8 +53,8 @@
 		return refuse(http.StatusServiceUnavailable, NoCatalog, startWait, "no catalog is known yet")
 	}
 
-	if n := headerBytes(x.request); x.catalog.Limits.Header > 0 && n > x.catalog.Limits.Header {
-		return refuse(http.StatusRequestHeaderFieldsTooLarge, HeaderTooLarge, 0, "headers too long: %d bytes, at most %d allowed", n, x.catalog.Limits.Header)
+	if n := headerBytes(x.request); x.catalog.Limits.MaxHeader > 0 && n > x.catalog.Limits.MaxHeader {
+		return refuse(http.StatusRequestHeaderFieldsTooLarge, HeaderTooLarge, 0, "headers too long: %d bytes, at most %d allowed", n, x.catalog.Limits.MaxHeader)
 	}
 
 	r, ok := x.catalog.Match(hostOf(x.request), x.request.URL.Path)
@@ -97,8 +97,8 @@
 		d = f.settings.DefaultTimeout
 	}
 
-	if x.rule.Longest > 0 {
-		d = min(d, x.rule.Longest)
+	if x.rule.Timeout > 0 {
+		d = min(d, x.rule.Timeout)
 	}
 
 	return d
@@ -106,7 +106,7 @@
 
 // authorize finds the customer by API key.
 func (f *Forwarder) authorize(x *exchange) error {
-	if x.rule.Public || !x.catalog.Keyed() {
+	if x.rule.Public || !x.catalog.RequiresKey() {
 		return nil
 	}
 
@@ -118,7 +118,7 @@
 	x.customer = u.Name
 	x.regions = u.Regions
 
-	if u.Ranked {
+	if u.HasPriority {
 		x.priority = u.Priority
 	}
 
@@ -128,7 +128,7 @@
 // readBody reads the whole body, so that it can be sent again and a slow caller occupies no target.
 func (f *Forwarder) readBody(x *exchange) error {
 	n := f.settings.MaxBody
-	if l := x.catalog.Limits.Body; l > 0 {
+	if l := x.catalog.Limits.MaxBody; l > 0 {
 		n = l
 	}
 
--- a/internal/forwarder/pool.go
+++ b/internal/forwarder/pool.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/discoverer"
 )
 
 const (
@@ -27,17 +27,17 @@
 	dial dial
 
 	mu         sync.Mutex
-	transports map[enroller.Key]*http.Transport
+	transports map[discoverer.Key]*http.Transport
 }
 
 func newConnPool(d dial) *connPool {
-	return &connPool{dial: d, transports: make(map[enroller.Key]*http.Transport)}
+	return &connPool{dial: d, transports: make(map[discoverer.Key]*http.Transport)}
 }
 
 // transport returns the transport with the pooled connections to a target's process. A call whose
 // target was selected just before its process was pruned creates the transport again. Its
 // connections are closed after idleTimeout, as are those to an earlier address of a process.
-func (k *connPool) transport(t *enroller.Target) *http.Transport {
+func (k *connPool) transport(t *discoverer.Target) *http.Transport {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 
@@ -55,7 +55,7 @@
 
 // prune closes the connections to processes that are not in the registry: idle ones now, those in
 // use once their calls are done.
-func (k *connPool) prune(r *enroller.Roster) {
+func (k *connPool) prune(r *discoverer.Registry) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 
--- a/internal/forwarder/process_test.go
+++ b/internal/forwarder/process_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/discoverer"
 	"github.com/auburntray/auburntray/internal/selector"
 )
 
@@ -35,17 +35,17 @@
 	is := is.New(t)
 	g := newGateway(t, &target{answer: answerOK}, &target{answer: answerOK})
 
-	var notified []enroller.Process
+	var notified []discoverer.Process
 
-	g.forwarder.OnGone(func(p enroller.Process) { notified = append(notified, p) })
+	g.forwarder.OnGone(func(p discoverer.Process) { notified = append(notified, p) })
 
 	old := g.state.Registry().Known["t0"].Process()
 	g.setTargets(g.restarted("t0"))
 
-	g.forwarder.MarkGone([]enroller.Process{old, {ID: "t0"}, {ID: "unknown"}})
+	g.forwarder.MarkGone([]discoverer.Process{old, {ID: "t0"}, {ID: "unknown"}})
 	is.Equal(g.excluded(), []string{})
 
-	g.forwarder.MarkGone([]enroller.Process{g.state.Registry().Known["t0"].Process()})
+	g.forwarder.MarkGone([]discoverer.Process{g.state.Registry().Known["t0"].Process()})
 	is.Equal(g.excluded(), []string{"t0"})
 	is.Equal(len(notified), 0) // The reporting instance has notified all others.
 
@@ -60,12 +60,12 @@
 		reply(n, s, "421 Misdirected Request", "", "Not-Run: 1")
 	}}, &target{answer: answerOK})
 
-	var notified []enroller.Process
+	var notified []discoverer.Process
 
-	g.forwarder.OnGone(func(p enroller.Process) { notified = append(notified, p) })
+	g.forwarder.OnGone(func(p discoverer.Process) { notified = append(notified, p) })
 
 	is.Equal(g.call(t, http.MethodGet, "/idempotent/", "").status, http.StatusOK)
-	is.Equal(notified, []enroller.Process{g.state.Registry().Known["t0"].Process()})
+	is.Equal(notified, []discoverer.Process{g.state.Registry().Known["t0"].Process()})
 }
 
 // Guards against calls that run at a target while it restarts. Each of them ran, or may have run,
--- a/internal/forwarder/quarantine.go
+++ b/internal/forwarder/quarantine.go
@@ -10,7 +10,7 @@
 	"github.com/sirupsen/logrus"
 
 	"github.com/auburntray/auburntray/internal/digester"
-	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/discoverer"
 	"github.com/auburntray/auburntray/internal/prober"
 	"github.com/auburntray/auburntray/internal/quarantiner"
 	"github.com/auburntray/auburntray/internal/selector"
@@ -24,7 +24,7 @@
 	Try(c context.Context, d digester.Digest, deadline time.Time) (quarantiner.Verdict, bool, func())
 	// Ended records that a process crashed while a call was running there, and returns the verdict
 	// on further sendings of the call.
-	Ended(d digester.Digest, p enroller.Name) quarantiner.Verdict
+	Ended(d digester.Digest, p discoverer.Name) quarantiner.Verdict
 	// Served records that a call was answered in full.
 	Served(d digester.Digest)
 }
@@ -77,7 +77,7 @@
 // detectCrash determines from the result of an attempt whether the target's process crashed while
 // running the call, and records that or that the target survived the call. It reports whether the
 // process crashed.
-func (f *Forwarder) detectCrash(c context.Context, x *exchange, t *enroller.Target, r result) bool {
+func (f *Forwarder) detectCrash(c context.Context, x *exchange, t *discoverer.Target, r result) bool {
 	switch {
 	case f.quarantine == nil || r.notRun:
 		return false
@@ -132,7 +132,7 @@
 
 // witnesses returns the addresses of targets that are reachable if the given target's data centre
 // is. They distinguish a crash of the target from a network cut.
-func (f *Forwarder) witnesses(t *enroller.Target) []netip.AddrPort {
+func (f *Forwarder) witnesses(t *discoverer.Target) []netip.AddrPort {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
@@ -146,7 +146,7 @@
 
 // dialOutcome determines from a failed connection attempt whether the target's process has crashed
 // or can't be reached.
-func (f *Forwarder) dialOutcome(c context.Context, t *enroller.Target, err error) selector.Outcome {
+func (f *Forwarder) dialOutcome(c context.Context, t *discoverer.Target, err error) selector.Outcome {
 	if prober.Refused(err) && f.client.prober.Reached(c, f.witnesses(t)) {
 		return selector.Crashed
 	}
--- a/internal/forwarder/quarantine_test.go
+++ b/internal/forwarder/quarantine_test.go
@@ -12,7 +12,7 @@
 	"github.com/matryer/is"
 
 	"github.com/auburntray/auburntray/internal/digester"
-	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/discoverer"
 	"github.com/auburntray/auburntray/internal/quarantiner"
 )
 
@@ -21,7 +21,7 @@
 	mu       sync.Mutex
 	q        *quarantiner.Quarantiner
 	served   int
-	crashed  []enroller.Name
+	crashed  []discoverer.Name
 	received []digester.Digest
 	// probes is the number of sendings that were permitted and are not over.
 	probes int
@@ -50,7 +50,7 @@
 	}
 }
 
-func (x *fakeQuarantine) Ended(d digester.Digest, p enroller.Name) quarantiner.Verdict {
+func (x *fakeQuarantine) Ended(d digester.Digest, p discoverer.Name) quarantiner.Verdict {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 
--- a/internal/forwarder/reply.go
+++ b/internal/forwarder/reply.go
@@ -5,13 +5,13 @@
 
 	"github.com/sirupsen/logrus"
 
-	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/discoverer"
 	"github.com/auburntray/auburntray/internal/selector"
 )
 
 // handleReply processes what a target reports about itself in the headers of an answer, whatever
 // becomes of the call.
-func (f *Forwarder) handleReply(x *exchange, t *enroller.Target, p Reply) {
+func (f *Forwarder) handleReply(x *exchange, t *discoverer.Target, p Reply) {
 	// The reply comes from another target, which now has the address.
 	if p.Misdirected {
 		return
@@ -38,8 +38,8 @@
 // accepts reports whether a target still accepts calls. While its home node was asked for a slot,
 // the target may have announced its shutdown or requested a backoff, or its data centre may have
 // been evacuated.
-func (f *Forwarder) accepts(t *enroller.Target) bool {
-	if !f.state.Registry().Takes(t) {
+func (f *Forwarder) accepts(t *discoverer.Target) bool {
+	if !f.state.Registry().AcceptsCalls(t) {
 		return false
 	}
 
@@ -51,7 +51,7 @@
 
 // remainingBackoff returns the time until the first backoff ends if all targets that could serve a
 // call have requested one, and zero otherwise.
-func (f *Forwarder) remainingBackoff(x *exchange, r *enroller.Roster) time.Duration {
+func (f *Forwarder) remainingBackoff(x *exchange, r *discoverer.Registry) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
@@ -66,7 +66,7 @@
 //
 // They would otherwise learn it from the list of targets, which lags and may be unavailable for
 // longer than the target keeps running.
-func (f *Forwarder) handleLeaving(t *enroller.Target) {
+func (f *Forwarder) handleLeaving(t *discoverer.Target) {
 	if x := f.state.Registry().Processes[t.Key()]; x != nil && x.Leaving {
 		return
 	}
@@ -78,7 +78,7 @@
 }
 
 // logLeaving logs and counts that a target is excluded because its process announced its shutdown.
-func (f *Forwarder) logLeaving(p enroller.Process, s selector.Source) {
+func (f *Forwarder) logLeaving(p discoverer.Process, s selector.Source) {
 	f.meter.Left("targetLeaves", true)
 	logrus.WithFields(logrus.Fields{"event": "targetLeaves", "target": p.ID, "source": s}).Info()
 }
--- a/internal/forwarder/reply_test.go
+++ b/internal/forwarder/reply_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/discoverer"
 )
 
 // answering returns an answer function with the given status, body and headers.
@@ -53,15 +53,15 @@
 			i := is.New(t)
 			g := newGateway(t, &target{answer: x.answer}, &target{answer: answerOK})
 
-			var notified []enroller.Process
+			var notified []discoverer.Process
 
-			g.forwarder.OnLeaving(func(p enroller.Process) { notified = append(notified, p) })
+			g.forwarder.OnLeaving(func(p discoverer.Process) { notified = append(notified, p) })
 			g.call(t, http.MethodGet, x.path, "")
 
 			r := g.state.Registry()
 			i.Equal(r.Known["t0"].Leaving, !x.accepts)
-			i.Equal(r.Takes(r.Known["t0"]), x.accepts)
-			i.True(r.Takes(r.Known["t1"]))
+			i.Equal(r.AcceptsCalls(r.Known["t0"]), x.accepts)
+			i.True(r.AcceptsCalls(r.Known["t1"]))
 
 			if x.accepts {
 				i.Equal(len(notified), 0)
@@ -69,7 +69,7 @@
 				return
 			}
 
-			i.Equal(notified, []enroller.Process{r.Known["t0"].Process()})
+			i.Equal(notified, []discoverer.Process{r.Known["t0"].Process()})
 
 			// The list does not yet show that the target is shutting down.
 			g.setTargets(*r.Known["t0"])
@@ -146,12 +146,12 @@
 	i := is.New(t)
 	g := newGateway(t, &target{answer: answerOK}, &target{answer: answerOK})
 
-	var notified []enroller.Process
+	var notified []discoverer.Process
 
-	g.forwarder.OnLeaving(func(p enroller.Process) { notified = append(notified, p) })
+	g.forwarder.OnLeaving(func(p discoverer.Process) { notified = append(notified, p) })
 
 	x := g.state.Registry().Known["t0"].Process()
-	g.forwarder.MarkLeaving([]enroller.Process{x, x, {ID: "unknown"}})
+	g.forwarder.MarkLeaving([]discoverer.Process{x, x, {ID: "unknown"}})
 	i.Equal(g.call(t, http.MethodGet, "/once/", "").body, "from t1")
 
 	// The target restarts, and the new process has not announced a shutdown.
--- a/internal/forwarder/reservation.go
+++ b/internal/forwarder/reservation.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/auburntray/auburntray/internal/aggregator"
-	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/discoverer"
 	"github.com/auburntray/auburntray/internal/reserver"
 	"github.com/auburntray/auburntray/internal/searcher"
 	"github.com/auburntray/auburntray/internal/selector"
@@ -19,9 +19,9 @@
 // responsible for it, counts the calls of all instances. It is implemented by reserver.Reserver.
 type SlotReserver interface {
 	// Reserve requests a slot for one call and returns the function that releases it.
-	Reserve(c context.Context, t *enroller.Target, q aggregator.Request) (aggregator.Verdict, reserver.Release)
+	Reserve(c context.Context, t *discoverer.Target, q aggregator.Request) (aggregator.Verdict, reserver.Release)
 	// Report reports the load that a target stated to the target's home node.
-	Report(t *enroller.Target, calls int)
+	Report(t *discoverer.Target, calls int)
 }
 
 // SetReserver sets the reserver of slots. It must be called before the first call is served.
@@ -170,7 +170,7 @@
 
 // reportLoad records the load that a target reported, and informs the home node if it counts too
 // few calls.
-func (f *Forwarder) reportLoad(x *exchange, t *enroller.Target, p Reply) {
+func (f *Forwarder) reportLoad(x *exchange, t *discoverer.Target, p Reply) {
 	f.mu.Lock()
 	f.chooser.ReportLoad(time.Now(), t, selector.LoadReport{Running: p.Running, Waiting: p.Waiting, Slots: p.Slots})
 	f.mu.Unlock()
--- a/internal/forwarder/reservation_test.go
+++ b/internal/forwarder/reservation_test.go
@@ -10,7 +10,7 @@
 	"github.com/matryer/is"
 
 	"github.com/auburntray/auburntray/internal/aggregator"
-	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/discoverer"
 	"github.com/auburntray/auburntray/internal/reserver"
 )
 
@@ -31,7 +31,7 @@
 	reports map[string]int
 }
 
-func (h *fakeReserver) Reserve(_ context.Context, t *enroller.Target, q aggregator.Request) (aggregator.Verdict, reserver.Release) {
+func (h *fakeReserver) Reserve(_ context.Context, t *discoverer.Target, q aggregator.Request) (aggregator.Verdict, reserver.Release) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 
@@ -69,7 +69,7 @@
 	}
 }
 
-func (h *fakeReserver) Report(t *enroller.Target, calls int) {
+func (h *fakeReserver) Report(t *discoverer.Target, calls int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 
--- a/internal/forwarder/stream.go
+++ b/internal/forwarder/stream.go
@@ -117,7 +117,7 @@
 		return 0
 	}
 
-	return pauseFactor * x.rule.Pause
+	return pauseFactor * x.rule.MaxEventGap
 }
 
 // isNextEvent reports whether an event may follow another. A target that resumes a stream may start
--- a/internal/gatekeeper/config_handler_test.go
+++ b/internal/gatekeeper/config_handler_test.go
@@ -9,7 +9,7 @@
 	"github.com/sirupsen/logrus"
 
 	"github.com/auburntray/auburntray/internal/cataloger"
-	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/discoverer"
 	"github.com/auburntray/auburntray/internal/standin/hearer"
 	"github.com/auburntray/auburntray/internal/watcher"
 )
@@ -31,7 +31,7 @@
 			i := is.New(t)
 			h := hearer.New(t)
 			f, c := newState(), counts{}
-			f.onRosterChange = func(*enroller.Roster) {}
+			f.onRosterChange = func(*discoverer.Registry) {}
 			s := &configHandler{state: f, key: "config", refusals: &refusalReporter{stream: "config", counter: c}, decode: func(b []byte) (cataloger.Document, error) {
 				if string(b) == `"wrong"` {
 					return cataloger.Document{Version: 9}, &watcher.RecordError{Fault: watcher.WrongType, Field: "routes"}
--- a/internal/gatekeeper/evacuation_handler_test.go
+++ b/internal/gatekeeper/evacuation_handler_test.go
@@ -12,7 +12,7 @@
 	"github.com/matryer/is"
 
 	"github.com/auburntray/auburntray/internal/cataloger"
-	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/discoverer"
 	"github.com/auburntray/auburntray/internal/selector"
 	"github.com/auburntray/auburntray/internal/standin/hearer"
 	"github.com/auburntray/auburntray/internal/watcher"
@@ -43,11 +43,11 @@
 	t.Helper()
 
 	f := newState()
-	f.onRosterChange = func(*enroller.Roster) {}
+	f.onRosterChange = func(*discoverer.Registry) {}
 
-	l := []enroller.Target{{ID: "leaving", Group: "g", DataCentre: names[0], Draining: true}}
+	l := []discoverer.Target{{ID: "leaving", Group: "g", DataCentre: names[0], Draining: true}}
 	for _, n := range names {
-		l = append(l, enroller.Target{ID: "t-" + n, Group: "g", DataCentre: n})
+		l = append(l, discoverer.Target{ID: "t-" + n, Group: "g", DataCentre: n})
 	}
 
 	f.resetTargets(l, nil)
@@ -160,8 +160,8 @@
 	s, _ := newTestEvacuationHandler(f)
 	s.Change(put("e/a", 1))
 
-	f.updateTargets(func(_ time.Time, e *enroller.Enroller) {
-		e.Set(enroller.Target{ID: "new", Group: "g", DataCentre: "a"})
+	f.updateTargets(func(_ time.Time, e *discoverer.Discoverer) {
+		e.Set(discoverer.Target{ID: "new", Group: "g", DataCentre: "a"})
 	})
 	i.Equal(openCentres(f), "b")
 
@@ -178,7 +178,7 @@
 func (r running) Running(centre string) int { return r[centre] }
 
 func (r running) Views() []selector.View {
-	return []selector.View{{Target: &enroller.Target{DataCentre: "a"}, Load: 2.6}, {Target: &enroller.Target{DataCentre: "b"}, Load: 9}}
+	return []selector.View{{Target: &discoverer.Target{DataCentre: "a"}, Load: 2.6}, {Target: &discoverer.Target{DataCentre: "b"}, Load: 9}}
 }
 
 // Guards against log lines and replies that don't show when a data centre may be switched off.
--- a/internal/gatekeeper/gatekeeper_test.go
+++ b/internal/gatekeeper/gatekeeper_test.go
@@ -21,7 +21,7 @@
 
 	"github.com/auburntray/auburntray/internal/budgeter"
 	"github.com/auburntray/auburntray/internal/cataloger"
-	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/discoverer"
 	"github.com/auburntray/auburntray/internal/forwarder"
 	"github.com/auburntray/auburntray/internal/gatekeeper"
 	"github.com/auburntray/auburntray/internal/standin/porter"
@@ -126,8 +126,8 @@
 
 			return c, ok, nil
 		},
-		DecodeTarget: func(key string, b []byte) (enroller.Target, error) {
-			var t enroller.Target
+		DecodeTarget: func(key string, b []byte) (discoverer.Target, error) {
+			var t discoverer.Target
 
 			err := json.Unmarshal(b, &t)
 			t.ID = key
@@ -192,7 +192,7 @@
 	}
 	for _, p := range prefixes {
 		d.Rules = append(d.Rules, cataloger.Rule{
-			Name: p, Host: "app.example", Prefix: p, Longest: 3 * time.Second,
+			Name: p, Host: "app.example", Prefix: p, Timeout: 3 * time.Second,
 			Shares: []cataloger.Share{{Group: "g", Weight: 1}},
 		})
 	}
@@ -201,7 +201,7 @@
 }
 
 // target returns a target whose server echoes the ID and answers with a function.
-func target(t *testing.T, f func(w http.ResponseWriter)) enroller.Target {
+func target(t *testing.T, f func(w http.ResponseWriter)) discoverer.Target {
 	t.Helper()
 
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -210,7 +210,7 @@
 	}))
 	t.Cleanup(s.Close)
 
-	return enroller.Target{Group: "g", Address: netip.MustParseAddrPort(strings.TrimPrefix(s.URL, "http://")), Slots: 4}
+	return discoverer.Target{Group: "g", Address: netip.MustParseAddrPort(strings.TrimPrefix(s.URL, "http://")), Slots: 4}
 }
 
 // status returns a condition that a call to a URL returns a status.
@@ -415,14 +415,14 @@
 }
 
 func TestLeavingTargetGetsNoNewCalls(t *testing.T) {
-	for name, leave := range map[string]func(t *testing.T, s *fixture, x enroller.Target){
-		"announces that it drains": func(t *testing.T, s *fixture, x enroller.Target) {
+	for name, leave := range map[string]func(t *testing.T, s *fixture, x discoverer.Target){
+		"announces that it drains": func(t *testing.T, s *fixture, x discoverer.Target) {
 			t.Helper()
 
 			x.Draining = true
 			s.targets.put(t, "t1", x)
 		},
-		"removed without notice": func(t *testing.T, s *fixture, _ enroller.Target) {
+		"removed without notice": func(t *testing.T, s *fixture, _ discoverer.Target) {
 			t.Helper()
 			s.targets.put(t, "t1", nil)
 		},
--- a/internal/gatekeeper/options.go
+++ b/internal/gatekeeper/options.go
@@ -10,8 +10,8 @@
 	"go.uber.org/fx/fxevent"
 
 	"github.com/auburntray/auburntray/internal/budgeter"
+	"github.com/auburntray/auburntray/internal/discoverer"
 	"github.com/auburntray/auburntray/internal/drainer"
-	"github.com/auburntray/auburntray/internal/enroller"
 	"github.com/auburntray/auburntray/internal/forwarder"
 	"github.com/auburntray/auburntray/internal/informer"
 	"github.com/auburntray/auburntray/internal/joiner"
@@ -101,7 +101,7 @@
 	x.SetReserver(h)
 	x.SetQuarantine(q)
 	q.OnEnds(x.RecordCrashes)
-	f.onRosterChange = func(r *enroller.Roster) {
+	f.onRosterChange = func(r *discoverer.Registry) {
 		x.Prune(r)
 		h.Forget(r)
 	}
--- a/internal/gatekeeper/servers.go
+++ b/internal/gatekeeper/servers.go
@@ -56,7 +56,7 @@
 		return idler.Limits{}
 	}
 
-	return idler.Limits{Idle: c.Limits.Idle, Header: c.Limits.HeaderTime}
+	return idler.Limits{Idle: c.Limits.IdleTimeout, Header: c.Limits.HeaderTimeout}
 }
 
 // serve counts a call as running while it is handled, so that a stop waits for it.
--- a/internal/gatekeeper/settings.go
+++ b/internal/gatekeeper/settings.go
@@ -6,7 +6,7 @@
 
 	"github.com/auburntray/auburntray/internal/budgeter"
 	"github.com/auburntray/auburntray/internal/cataloger"
-	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/discoverer"
 	"github.com/auburntray/auburntray/internal/forwarder"
 	"github.com/auburntray/auburntray/internal/throttler"
 	"github.com/auburntray/auburntray/internal/warner"
@@ -94,7 +94,7 @@
 	// Targets is the stream with an entry for each target. If an invalid entry still names a target,
 	// DecodeTarget marks its error with watcher.ErrPartial.
 	Targets      watcher.Source
-	DecodeTarget func(key string, b []byte) (enroller.Target, error)
+	DecodeTarget func(key string, b []byte) (discoverer.Target, error)
 	// Quarantine stores the records of quarantined calls; nil stores none.
 	Quarantine warner.Shelf
 	// ReadyPath is the path of the readiness checks.
--- a/internal/gatekeeper/state.go
+++ b/internal/gatekeeper/state.go
@@ -9,7 +9,7 @@
 
 	"github.com/auburntray/auburntray/internal/cataloger"
 	"github.com/auburntray/auburntray/internal/detector"
-	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/discoverer"
 	"github.com/auburntray/auburntray/internal/evacuator"
 	"github.com/auburntray/auburntray/internal/forwarder"
 	"github.com/auburntray/auburntray/internal/watcher"
@@ -18,10 +18,10 @@
 // state holds the catalog, the targets and the evacuations in force. It is safe for concurrent use.
 type state struct {
 	catalog atomic.Pointer[cataloger.Catalog]
-	roster  atomic.Pointer[enroller.Roster]
+	roster  atomic.Pointer[discoverer.Registry]
 	// known is closed once there is a catalog and the list of targets was read.
 	known          chan struct{}
-	onRosterChange func(r *enroller.Roster)
+	onRosterChange func(r *discoverer.Registry)
 	// instances returns the number of instances that share the retry budget.
 	instances func() int
 	// detector detects stalls of this process.
@@ -32,13 +32,13 @@
 	applyWithin time.Duration
 
 	mu        sync.Mutex
-	enroller  *enroller.Enroller
+	enroller  *discoverer.Discoverer
 	evacuator *evacuator.Evacuator
 	// targetsRead reports whether the list of targets was read.
 	targetsRead bool
 	// sourceRoster, sourceCatalog and sourceEvacuations are those that the published roster was
 	// derived from.
-	sourceRoster      *enroller.Roster
+	sourceRoster      *discoverer.Registry
 	sourceCatalog     *cataloger.Catalog
 	sourceEvacuations *evacuator.State
 	// closeKnown closes known once.
@@ -50,9 +50,9 @@
 func newState() *state {
 	f := &state{
 		applyWithin: DefaultApplyWithin,
-		enroller:    enroller.New(enroller.DefaultSettings()), evacuator: evacuator.New(), known: make(chan struct{}), detector: detector.New(time.Now()),
+		enroller:    discoverer.New(discoverer.DefaultSettings()), evacuator: evacuator.New(), known: make(chan struct{}), detector: detector.New(time.Now()),
 	}
-	f.roster.Store(f.enroller.Roster())
+	f.roster.Store(f.enroller.Registry())
 
 	return f
 }
@@ -64,7 +64,7 @@
 func (f *state) Synced() <-chan struct{} { return f.known }
 
 // Registry implements forwarder.Facts.
-func (f *state) Registry() *enroller.Roster { return f.roster.Load() }
+func (f *state) Registry() *discoverer.Registry { return f.roster.Load() }
 
 // version returns the version of the catalog in force; zero means none.
 func (f *state) version() uint64 {
@@ -130,7 +130,7 @@
 }
 
 // updateTargets changes the list of targets and publishes it.
-func (f *state) updateTargets(u func(now time.Time, e *enroller.Enroller)) {
+func (f *state) updateTargets(u func(now time.Time, e *discoverer.Discoverer)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
@@ -139,10 +139,10 @@
 }
 
 // MarkLeaving implements forwarder.Facts.
-func (f *state) MarkLeaving(p enroller.Process) bool {
+func (f *state) MarkLeaving(p discoverer.Process) bool {
 	var o bool
 
-	f.updateTargets(func(n time.Time, e *enroller.Enroller) { o = e.Leave(n, p) })
+	f.updateTargets(func(n time.Time, e *discoverer.Discoverer) { o = e.MarkLeaving(n, p) })
 
 	return o
 }
@@ -166,7 +166,7 @@
 
 // stageTargets changes the list of targets without publishing it; the end of the read that
 // contained the change does.
-func (f *state) stageTargets(u func(now time.Time, e *enroller.Enroller)) {
+func (f *state) stageTargets(u func(now time.Time, e *discoverer.Discoverer)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
@@ -176,7 +176,7 @@
 // publish publishes the targets if the list, the groups of the catalog or the evacuations have
 // changed. The caller holds the lock.
 func (f *state) publish() {
-	l, c, e := f.enroller.Roster(), f.catalog.Load(), f.evacuator.State()
+	l, c, e := f.enroller.Registry(), f.catalog.Load(), f.evacuator.State()
 	if l == f.sourceRoster && c == f.sourceCatalog && e == f.sourceEvacuations {
 		return
 	}
@@ -185,7 +185,7 @@
 
 	r := inCatalog(l, c)
 	if len(e.Begun)+len(e.Ended) > 0 {
-		r = r.Evacuated(e.Evacuated, e.Ended)
+		r = r.WithEvacuated(e.Evacuated, e.Ended)
 	}
 
 	if r == f.roster.Load() {
@@ -202,12 +202,12 @@
 // Other programs may register targets of groups that do not belong to this fleet. They get no
 // calls, but their data centres would count in the detection of network partitions, and the
 // instance would report ready with no usable target.
-func inCatalog(l *enroller.Roster, c *cataloger.Catalog) *enroller.Roster {
+func inCatalog(l *discoverer.Registry, c *cataloger.Catalog) *discoverer.Registry {
 	if c == nil {
 		return l
 	}
 
-	return l.Of(func(group string) bool {
+	return l.FilterGroups(func(group string) bool {
 		_, ok := c.Group(group)
 
 		return ok
@@ -215,16 +215,16 @@
 }
 
 // target returns a target's entry, and false when there is none.
-func (f *state) target(id string) (*enroller.Target, bool) {
+func (f *state) target(id string) (*discoverer.Target, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
-	return f.enroller.Known(id)
+	return f.enroller.Lookup(id)
 }
 
 // resetTargets replaces the list of targets, and drops at once the targets whose keys have invalid
 // entries.
-func (f *state) resetTargets(l []enroller.Target, none []string) {
+func (f *state) resetTargets(l []discoverer.Target, none []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
@@ -241,8 +241,8 @@
 
 // removeLapsed removes the targets whose entries did not return within the grace period.
 func (f *state) removeLapsed() {
-	f.updateTargets(func(n time.Time, e *enroller.Enroller) {
-		for _, id := range e.Settle(n) {
+	f.updateTargets(func(n time.Time, e *discoverer.Discoverer) {
+		for _, id := range e.ExpireHeld(n) {
 			logrus.WithFields(logrus.Fields{"event": "targetLapsed", "target": id}).Info()
 		}
 	})
--- a/internal/gatekeeper/state_test.go
+++ b/internal/gatekeeper/state_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 
 	"github.com/auburntray/auburntray/internal/cataloger"
-	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/discoverer"
 	"github.com/auburntray/auburntray/internal/watcher"
 )
 
@@ -30,7 +30,7 @@
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
 			f := newState()
-			f.onRosterChange = func(*enroller.Roster) {}
+			f.onRosterChange = func(*discoverer.Registry) {}
 
 			if x.catalog {
 				k, err := cataloger.New(c)
@@ -54,7 +54,7 @@
 func TestOneReadPublishesOneRoster(t *testing.T) {
 	i := is.New(t)
 	f := newState()
-	f.onRosterChange = func(*enroller.Roster) {}
+	f.onRosterChange = func(*discoverer.Registry) {}
 	s, _ := newTestTargetHandler(f)
 	i.NoErr(s.Reset(nil, 0))
 
@@ -78,9 +78,9 @@
 	i := is.New(t)
 	f := newState()
 
-	var last *enroller.Roster
+	var last *discoverer.Registry
 
-	f.onRosterChange = func(r *enroller.Roster) { last = r }
+	f.onRosterChange = func(r *discoverer.Registry) { last = r }
 	s, _ := newTestTargetHandler(f)
 	i.NoErr(s.Reset([]watcher.Record{{Key: "t", Value: []byte("g")}, {Key: "u", Value: []byte("other")}}, 2))
 
--- a/internal/gatekeeper/target_handler.go
+++ b/internal/gatekeeper/target_handler.go
@@ -6,7 +6,7 @@
 	"github.com/cockroachdb/errors"
 	"github.com/sirupsen/logrus"
 
-	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/discoverer"
 	"github.com/auburntray/auburntray/internal/watcher"
 )
 
@@ -14,7 +14,7 @@
 // watcher.Watcher calls it.
 type targetHandler struct {
 	state    *state
-	decode   func(key string, b []byte) (enroller.Target, error)
+	decode   func(key string, b []byte) (discoverer.Target, error)
 	records  *seenRecords
 	refusals *refusalReporter
 }
@@ -31,7 +31,7 @@
 	s.records.markMissingDeleted(n)
 
 	var (
-		targets []enroller.Target
+		targets []discoverer.Target
 		none    []string
 	)
 
@@ -71,7 +71,7 @@
 
 	t, err := s.decode(r.Key, r.Value)
 	if !s.usable(r, err) {
-		s.state.stageTargets(func(_ time.Time, e *enroller.Enroller) { e.Drop(r.Key) })
+		s.state.stageTargets(func(_ time.Time, e *discoverer.Discoverer) { e.Drop(r.Key) })
 		s.reportRefused(r, err)
 
 		return
@@ -96,18 +96,18 @@
 }
 
 // withReadTime returns a target with the values that depend on when its entry was read.
-func (s *targetHandler) withReadTime(t enroller.Target, offset int64) enroller.Target {
+func (s *targetHandler) withReadTime(t discoverer.Target, offset int64) discoverer.Target {
 	t.Offset = offset
 	o, _ := s.state.target(t.ID)
 
-	return t.Seen(time.Now(), o)
+	return t.WithReadTime(time.Now(), o)
 }
 
 // apply adds a target or changes its entry. Log lines about keys that are overwritten repeatedly
 // are limited like those about refused records.
-func (s *targetHandler) apply(t enroller.Target, offset int64, wasRefused bool) {
-	s.state.stageTargets(func(_ time.Time, e *enroller.Enroller) {
-		o, ok := e.Known(t.ID)
+func (s *targetHandler) apply(t discoverer.Target, offset int64, wasRefused bool) {
+	s.state.stageTargets(func(_ time.Time, e *discoverer.Discoverer) {
+		o, ok := e.Lookup(t.ID)
 		if (!ok || o.Draining != t.Draining) && (!wasRefused || s.refusals.allowLine()) {
 			logrus.WithFields(logrus.Fields{
 				"event": "targetListed", "target": t.ID, "group": t.Group, "address": t.Address,
@@ -121,8 +121,8 @@
 
 func (s *targetHandler) remove(r watcher.Record) {
 	s.records.set(r.Key, seenRecord{offset: r.Offset, outcome: deleted})
-	s.state.stageTargets(func(n time.Time, e *enroller.Enroller) {
-		if _, ok := e.Known(r.Key); !ok {
+	s.state.stageTargets(func(n time.Time, e *discoverer.Discoverer) {
+		if _, ok := e.Lookup(r.Key); !ok {
 			return // Its entry was invalid.
 		}
 
@@ -143,8 +143,8 @@
 
 // Read implements watcher.Sink.
 func (s *targetHandler) Read(away time.Duration) {
-	s.state.updateTargets(func(n time.Time, e *enroller.Enroller) {
-		e.Regained(n, away)
+	s.state.updateTargets(func(n time.Time, e *discoverer.Discoverer) {
+		e.RecordOutage(n, away)
 	})
 	s.refusals.flush()
 }
--- a/internal/gatekeeper/target_handler_test.go
+++ b/internal/gatekeeper/target_handler_test.go
@@ -12,7 +12,7 @@
 	"github.com/matryer/is"
 	"github.com/sirupsen/logrus"
 
-	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/discoverer"
 	"github.com/auburntray/auburntray/internal/standin/hearer"
 	"github.com/auburntray/auburntray/internal/watcher"
 )
@@ -29,14 +29,14 @@
 
 	return &targetHandler{
 		state: f, records: newSeenRecords(), refusals: &refusalReporter{stream: "targets", counter: c},
-		decode: func(key string, b []byte) (enroller.Target, error) {
+		decode: func(key string, b []byte) (discoverer.Target, error) {
 			if strings.HasPrefix(string(b), "bad") {
-				return enroller.Target{}, &watcher.RecordError{Fault: watcher.InvalidValue, Field: "state"}
+				return discoverer.Target{}, &watcher.RecordError{Fault: watcher.InvalidValue, Field: "state"}
 			}
 
 			g, d := strings.CutPrefix(string(b), "-")
 
-			return enroller.Target{ID: key, Group: g, Draining: d}, nil
+			return discoverer.Target{ID: key, Group: g, Draining: d}, nil
 		},
 	}, c
 }
@@ -46,7 +46,7 @@
 	t.Helper()
 
 	f := newState()
-	f.onRosterChange = func(*enroller.Roster) {}
+	f.onRosterChange = func(*discoverer.Registry) {}
 	s, c := newTestTargetHandler(f)
 
 	var l []watcher.Record
--- a/internal/informer/informer.go
+++ b/internal/informer/informer.go
@@ -14,7 +14,7 @@
 	"github.com/cockroachdb/errors"
 	"github.com/tinylib/msgp/msgp"
 
-	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/discoverer"
 	"github.com/auburntray/auburntray/internal/selector"
 	"github.com/auburntray/auburntray/internal/spreader"
 	"github.com/auburntray/auburntray/internal/wire"
@@ -41,9 +41,9 @@
 	Update() selector.Update
 	ApplyUpdate(n selector.Update)
 	// ReportGone takes that processes are gone.
-	MarkGone(l []enroller.Process)
+	MarkGone(l []discoverer.Process)
 	// MarkLeaving takes that processes said that they leave.
-	MarkLeaving(l []enroller.Process)
+	MarkLeaving(l []discoverer.Process)
 }
 
 // Informer tells and is told. It is safe for concurrent use.
@@ -85,12 +85,12 @@
 	var n selector.Update
 
 	for _, h := range w.Holders {
-		n.Placements = append(n.Placements, selector.Placement{Key: h.Key, Target: enroller.Name(h.Target)})
+		n.Placements = append(n.Placements, selector.Placement{Key: h.Key, Target: discoverer.Name(h.Target)})
 	}
 
 	for _, l := range w.Loads {
 		n.Loads = append(n.Loads, selector.TargetLoad{
-			Target: enroller.Name(l.Target), Calls: int(l.Calls), At: b.Add(-time.Duration(l.AgeMs) * time.Millisecond),
+			Target: discoverer.Name(l.Target), Calls: int(l.Calls), At: b.Add(-time.Duration(l.AgeMs) * time.Millisecond),
 		})
 	}
 
@@ -104,16 +104,16 @@
 //
 // It names the process and not just the target: the word may come after the list has shown
 // that the target started again, and would have the new process left alone for seconds.
-func (i *Informer) Gone(p enroller.Process) {
+func (i *Informer) Gone(p discoverer.Process) {
 	i.tellOf(wire.KindGone, p)
 }
 
 // Leaving tells the others at once that a process said that it leaves.
-func (i *Informer) Leaving(p enroller.Process) {
+func (i *Informer) Leaving(p discoverer.Process) {
 	i.tellOf(wire.KindLeaving, p)
 }
 
-func (i *Informer) tellOf(k wire.Kind, p enroller.Process) {
+func (i *Informer) tellOf(k wire.Kind, p discoverer.Process) {
 	i.spreader.Each(context.Background(), k, &wire.Gone{
 		Targets: []string{p.ID}, StartsMs: []int64{p.Start.UnixMilli()},
 	})
@@ -140,7 +140,7 @@
 }
 
 // processes reads the names of processes. It fails with ErrNews.
-func processes(body []byte) ([]enroller.Process, error) {
+func processes(body []byte) ([]discoverer.Process, error) {
 	var w wire.Gone
 	if _, err := w.UnmarshalMsg(body); err != nil {
 		return nil, errors.Mark(err, ErrNews)
@@ -150,9 +150,9 @@
 		return nil, errors.Wrapf(ErrNews, "%d targets have %d starts", len(w.Targets), len(w.StartsMs))
 	}
 
-	l := make([]enroller.Process, len(w.Targets))
+	l := make([]discoverer.Process, len(w.Targets))
 	for k, id := range w.Targets {
-		l[k] = enroller.Process{ID: id, Start: time.UnixMilli(w.StartsMs[k])}
+		l[k] = discoverer.Process{ID: id, Start: time.UnixMilli(w.StartsMs[k])}
 	}
 
 	return l, nil
--- a/internal/informer/informer_test.go
+++ b/internal/informer/informer_test.go
@@ -15,7 +15,7 @@
 	"github.com/sirupsen/logrus"
 	"github.com/tinylib/msgp/msgp"
 
-	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/discoverer"
 	"github.com/auburntray/auburntray/internal/gossiper"
 	"github.com/auburntray/auburntray/internal/informer"
 	"github.com/auburntray/auburntray/internal/selector"
@@ -31,8 +31,8 @@
 	news, learnt selector.Update
 	// always makes the news come again and again.
 	always bool
-	gone   []enroller.Process
-	leave  []enroller.Process
+	gone   []discoverer.Process
+	leave  []discoverer.Process
 }
 
 func (k *knowledge) Update() selector.Update {
@@ -52,9 +52,9 @@
 	k.learnt.Loads = append(k.learnt.Loads, n.Loads...)
 }
 
-func (k *knowledge) MarkGone(l []enroller.Process) { k.gone = append(k.gone, l...) }
+func (k *knowledge) MarkGone(l []discoverer.Process) { k.gone = append(k.gone, l...) }
 
-func (k *knowledge) MarkLeaving(l []enroller.Process) { k.leave = append(k.leave, l...) }
+func (k *knowledge) MarkLeaving(l []discoverer.Process) { k.leave = append(k.leave, l...) }
 
 // fleet joins instances without a network.
 type fleet struct {
@@ -174,7 +174,7 @@
 // and not with the next news, which is a second away in a large fleet. They know which
 // process of the target is meant, since it may have started again by then.
 func TestGoneIsToldAtOnce(t *testing.T) {
-	for name, p := range map[string]enroller.Process{
+	for name, p := range map[string]discoverer.Process{
 		"with a start":         {ID: "t1", Start: time.UnixMilli(1_700_000_000_000)},
 		"without":              {ID: "t1"},
 		"with one before 1970": {ID: "t1", Start: time.UnixMilli(-5)},
--- a/internal/leaser/leaser.go
+++ b/internal/leaser/leaser.go
@@ -1,31 +1,32 @@
-// Package leaser decides who holds the lease on a target.
+// Package leaser determines which router holds the lease on a target.
 //
-// It folds the leases stream in the order of its offsets, so every reader comes
-// to the same holder. Times are the log's own, so routers' clocks need not
-// agree. The offset of the record that won a lease is its fencing number.
+// It applies the records of the leases stream in offset order, so that all readers
+// determine the same holder. It uses the log's append times, so the clocks of the routers
+// need not agree. The fencing token of a lease derives from the offset of the record that
+// acquired it.
 package leaser
 
 import "time"
 
-// Record asks for a lease.
+// Record is a request for a lease, as appended to the leases stream.
 type Record struct {
 	Target   uint32        `json:"target"`
 	Holder   uint64        `json:"holder"`
 	Lifetime time.Duration `json:"lifetime"`
 }
 
-// Lease is a lease as it stands.
+// Lease is the current lease on a target.
 type Lease struct {
 	Holder uint64
-	// Fence is higher for each later lease on a target; zero is no lease.
-	Fence uint64
-	Ends  time.Time
+	// Fence is the fencing token, which rises with each later lease on a target; zero means no lease.
+	Fence   uint64
+	Expires time.Time
 }
 
-// Leaser holds the leases. It is not safe for concurrent use.
+// Leaser tracks the latest lease of each target. It is not safe for concurrent use.
 type Leaser struct {
-	leases map[uint32]Lease
-	next   uint64
+	leases     map[uint32]Lease
+	nextOffset uint64
 }
 
 // New returns a Leaser without leases.
@@ -33,27 +34,28 @@
 	return &Leaser{leases: make(map[uint32]Lease)}
 }
 
-// Fold takes the record at an offset, which the log appended at a time. It gives
-// the lease if the target's last one has ended by then.
-func (l *Leaser) Fold(offset uint64, at time.Time, r Record) {
-	if offset < l.next {
+// Apply applies the record at an offset with its append time. It grants the lease if the
+// target's previous lease has expired by then. Records that were applied already are ignored,
+// and so are those with a lifetime of zero or less.
+func (l *Leaser) Apply(offset uint64, at time.Time, r Record) {
+	if offset < l.nextOffset {
 		return
 	}
 
-	l.next = offset + 1
+	l.nextOffset = offset + 1
 
-	if r.Lifetime <= 0 || at.Before(l.leases[r.Target].Ends) {
+	if r.Lifetime <= 0 || at.Before(l.leases[r.Target].Expires) {
 		return
 	}
 
-	l.leases[r.Target] = Lease{Holder: r.Holder, Fence: offset + 1, Ends: at.Add(r.Lifetime)}
+	l.leases[r.Target] = Lease{Holder: r.Holder, Fence: offset + 1, Expires: at.Add(r.Lifetime)}
 }
 
-// Get returns the lease on a target at a time by the log's clock; the zero Lease
-// when there is none or it has ended.
+// Get returns the lease on a target at a time by the log's clock. It returns the zero Lease
+// when there is none or it has expired.
 func (l *Leaser) Get(now time.Time, target uint32) Lease {
 	x := l.leases[target]
-	if !now.Before(x.Ends) {
+	if !now.Before(x.Expires) {
 		return Lease{}
 	}
 
--- a/internal/leaser/leaser_test.go
+++ b/internal/leaser/leaser_test.go
@@ -11,10 +11,10 @@
 	"github.com/auburntray/auburntray/internal/leaser"
 )
 
-// Random tests draw the same each run.
+// Fixes the seed, so that random tests draw the same values in each run.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-func TestFold(t *testing.T) {
+func TestApply(t *testing.T) {
 	type entry struct {
 		at     time.Duration
 		holder uint64
@@ -26,11 +26,11 @@
 		want    uint64
 		fence   uint64
 	}{
-		"none":                    {nil, 0, 0, 0},
-		"the first by offset":     {[]entry{{0, 1}, {0, 2}}, time.Second, 1, 1},
-		"until it ends":           {[]entry{{0, 1}}, 10 * time.Second, 0, 0},
-		"then the next":           {[]entry{{0, 1}, {10 * time.Second, 2}}, 11 * time.Second, 2, 2},
-		"asking early is in vain": {[]entry{{0, 1}, {9 * time.Second, 2}}, 11 * time.Second, 0, 0},
+		"no records":            {nil, 0, 0, 0},
+		"lowest offset wins":    {[]entry{{0, 1}, {0, 2}}, time.Second, 1, 1},
+		"expired":               {[]entry{{0, 1}}, 10 * time.Second, 0, 0},
+		"acquired after expiry": {[]entry{{0, 1}, {10 * time.Second, 2}}, 11 * time.Second, 2, 2},
+		"request before expiry": {[]entry{{0, 1}, {9 * time.Second, 2}}, 11 * time.Second, 0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
@@ -39,8 +39,8 @@
 
 			for n, e := range tc.entries {
 				r := leaser.Record{Target: 7, Holder: e.holder, Lifetime: 10 * time.Second}
-				l.Fold(uint64(n), start.Add(e.at), r)
-				l.Fold(uint64(n), start.Add(e.at), r)
+				l.Apply(uint64(n), start.Add(e.at), r)
+				l.Apply(uint64(n), start.Add(e.at), r)
 			}
 
 			x := l.Get(start.Add(tc.at), 7)
@@ -50,7 +50,8 @@
 	}
 }
 
-// Whoever asks when, leases on a target never overlap and their numbers rise.
+// Guards against overlapping leases on a target and fencing tokens that do not rise, for
+// requests by any holder at any time.
 func TestLeasesNeverOverlap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := leaser.New()
@@ -60,14 +61,14 @@
 
 		for n := range rapid.IntRange(1, 50).Draw(t, "records") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 8).Draw(t, "seconds")) * time.Second)
-			l.Fold(uint64(n), now, leaser.Record{Target: 1, Holder: rapid.Uint64Range(1, 3).Draw(t, "holder"), Lifetime: 10 * time.Second})
+			l.Apply(uint64(n), now, leaser.Record{Target: 1, Holder: rapid.Uint64Range(1, 3).Draw(t, "holder"), Lifetime: 10 * time.Second})
 
 			x := l.Get(now, 1)
 			if x.Fence == last.Fence {
 				continue
 			}
 
-			if x.Fence < last.Fence || now.Before(last.Ends) {
+			if x.Fence < last.Fence || now.Before(last.Expires) {
 				t.Fatalf("%+v after %+v", x, last)
 			}
 
--- a/internal/quarantiner/bench_test.go
+++ b/internal/quarantiner/bench_test.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/auburntray/auburntray/internal/digester"
-	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/discoverer"
 	"github.com/auburntray/auburntray/internal/quarantiner"
 )
 
@@ -16,7 +16,7 @@
 
 	for i := range s.MaxCalls {
 		for n := range 3 {
-			q.RecordCrash(start().Add(time.Duration(n)*time.Second), digester.Digest(i), enroller.Name(n))
+			q.RecordCrash(start().Add(time.Duration(n)*time.Second), digester.Digest(i), discoverer.Name(n))
 		}
 	}
 
--- a/internal/quarantiner/quarantiner.go
+++ b/internal/quarantiner/quarantiner.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"github.com/auburntray/auburntray/internal/digester"
-	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/discoverer"
 )
 
 // Settings configures a Quarantiner.
@@ -98,7 +98,7 @@
 
 // RecordCrash records that a process crashed while a call was in flight there. It returns the new verdict,
 // and whether the crash was new or changed.
-func (q *Quarantiner) RecordCrash(now time.Time, d digester.Digest, p enroller.Name) (Verdict, bool) {
+func (q *Quarantiner) RecordCrash(now time.Time, d digester.Digest, p discoverer.Name) (Verdict, bool) {
 	r, known := q.calls[d]
 	if !known {
 		r = q.insert(now, d)
--- a/internal/quarantiner/quarantiner_test.go
+++ b/internal/quarantiner/quarantiner_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 
 	"github.com/auburntray/auburntray/internal/digester"
-	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/discoverer"
 	"github.com/auburntray/auburntray/internal/quarantiner"
 )
 
@@ -19,7 +19,7 @@
 // step is an event of a call: a process crashes while running it, or it is served.
 type step struct {
 	at      time.Duration
-	crashed enroller.Name
+	crashed discoverer.Name
 	served  bool
 }
 
@@ -77,7 +77,7 @@
 
 	for i := range n {
 		at := time.Duration(i) * time.Second
-		o = append(o, step{at: at, crashed: enroller.Name(i + 1)}, step{at: at + time.Millisecond, served: true})
+		o = append(o, step{at: at, crashed: discoverer.Name(i + 1)}, step{at: at + time.Millisecond, served: true})
 	}
 
 	return o
@@ -118,7 +118,7 @@
 func crashesBetween(from, to int) []step {
 	var o []step
 	for i := from; i < to; i++ {
-		o = append(o, step{at: time.Duration(i) * time.Second, crashed: enroller.Name(i + 1)})
+		o = append(o, step{at: time.Duration(i) * time.Second, crashed: discoverer.Name(i + 1)})
 	}
 
 	return o
@@ -184,7 +184,7 @@
 	q := quarantiner.New(s)
 
 	for i := range 3 {
-		q.RecordCrash(start().Add(time.Duration(i)*time.Second), call, enroller.Name(i))
+		q.RecordCrash(start().Add(time.Duration(i)*time.Second), call, discoverer.Name(i))
 	}
 
 	for i := range 10_000 {
--- a/internal/quarantiner/record.go
+++ b/internal/quarantiner/record.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/auburntray/auburntray/internal/digester"
-	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/discoverer"
 )
 
 // maxCrashesPerRecord is the number of crashes that are remembered per call, the newest ones.
@@ -13,7 +13,7 @@
 
 // Crash describes the crash of a process while a call was in flight there.
 type Crash struct {
-	Process enroller.Name
+	Process discoverer.Name
 	At      time.Time
 	// Cleared reports whether the call was served since, so that it was not the cause.
 	Cleared bool
--- a/internal/quarantiner/replay_test.go
+++ b/internal/quarantiner/replay_test.go
@@ -10,7 +10,7 @@
 	"github.com/matryer/is"
 
 	"github.com/auburntray/auburntray/internal/digester"
-	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/discoverer"
 	"github.com/auburntray/auburntray/internal/quarantiner"
 	"github.com/auburntray/auburntray/internal/sharder"
 )
@@ -41,22 +41,22 @@
 const customers = 10
 
 // newTargets returns targets of one group.
-func newTargets(n int) []*enroller.Target {
-	e := enroller.New(enroller.DefaultSettings())
+func newTargets(n int) []*discoverer.Target {
+	e := discoverer.New(discoverer.DefaultSettings())
 
 	for i := range n {
-		e.Set(enroller.Target{ID: strconv.Itoa(i), Group: "g"})
+		e.Set(discoverer.Target{ID: strconv.Itoa(i), Group: "g"})
 	}
 
-	return e.Roster().Groups["g"]
+	return e.Registry().Groups["g"]
 }
 
 // newTarget returns a target as a registry lists it.
-func newTarget(t enroller.Target) *enroller.Target {
-	e := enroller.New(enroller.DefaultSettings())
+func newTarget(t discoverer.Target) *discoverer.Target {
+	e := discoverer.New(discoverer.DefaultSettings())
 	e.Set(t)
 
-	return e.Roster().Known[t.ID]
+	return e.Registry().Known[t.ID]
 }
 
 // running is a call at a target.
@@ -84,8 +84,8 @@
 		// at holds the calls of each target, availableAt when it is available, and process its name.
 		at           = make([][]running, l.targets)
 		availableAt  = make([]time.Time, l.targets)
-		process      = make([]enroller.Name, l.targets)
-		next         = enroller.Name(1)
+		process      = make([]discoverer.Name, l.targets)
+		next         = discoverer.Name(1)
 		unique       = digester.Digest(1 << 32)
 		now          = start()
 		c            = sharder.New()
--- a/internal/reconciler/reconciler.go
+++ b/internal/reconciler/reconciler.go
@@ -69,7 +69,7 @@
 
 	// A record that cannot be decoded has no lifetime, and so grants no lease.
 	_ = json.Unmarshal(data, &r)
-	f.Fold(offset, at, r)
+	f.Apply(offset, at, r)
 }
 
 // New returns an Orderer that holds no lease. Self identifies this router as a holder.
--- a/internal/registrar/partition.go
+++ b/internal/registrar/partition.go
@@ -12,15 +12,14 @@
 )
 
 const (
-	// expireEvery is the time between two sweeps of old keys.
-	expireEvery = time.Minute
-	// settleGap is how long after the last append the record of an ended call
-	// waits for a claim to go along with. On a busy partition it halves the
-	// appends.
-	settleGap = 50 * time.Millisecond
+	// expireInterval is the interval at which expired keys are dropped, by the log's clock.
+	expireInterval = time.Minute
+	// settleDelay is how long a settlement may wait after the previous append, so that it shares
+	// an append with the next claim. This halves the appends on a busy partition.
+	settleDelay = 50 * time.Millisecond
 )
 
-// partition is one stream of claims with what this router has folded of it.
+// partition is one claims stream with the claims that this router has read from it.
 type partition struct {
 	*streamer.Streamer
 
@@ -35,8 +34,8 @@
 	return p
 }
 
-// ApplyRecord is part of streamer.Fold. A record that can't be read is folded as one
-// that changes nothing, by every reader alike.
+// ApplyRecord implements streamer.Fold. A record that can't be decoded is applied as one without
+// effect, so that all readers agree.
 func (p *partition) ApplyRecord(offset uint64, at time.Time, data []byte) {
 	var w wire.ClaimRecord
 
@@ -45,15 +44,15 @@
 		r = fromWire(w)
 	}
 
-	p.claimer.Fold(offset, at, r)
+	p.claimer.Apply(offset, at, r)
 
-	if at.Sub(p.expired) > expireEvery {
+	if at.Sub(p.expired) > expireInterval {
 		p.expired = at
 		p.claimer.Expire(at)
 	}
 }
 
-// append puts a claim into the stream, or how one was settled.
+// append appends a claim or a settlement to the stream and returns its offset.
 func (p *partition) append(c context.Context, r claimer.Record) (uint64, error) {
 	w := toWire(r)
 
@@ -63,7 +62,7 @@
 	}
 
 	if r.Settled != claimer.Unclaimed {
-		return p.AppendAfter(c, b, settleGap)
+		return p.AppendAfter(c, b, settleDelay)
 	}
 
 	return p.Append(c, b)
@@ -94,9 +93,9 @@
 	return r
 }
 
-// look says how a claim stands by what was folded.
-func (p *partition) look(key, id, body uint64) (o claimer.Outcome, a claimer.Answer, d time.Duration) {
-	p.View(func(now time.Time) { o, a, d = p.claimer.Look(now, key, id, body) })
+// lookup returns the outcome of a claim by the records that were read.
+func (p *partition) lookup(key, id, body uint64) (o claimer.Outcome, a claimer.Answer, d time.Duration) {
+	p.View(func(now time.Time) { o, a, d = p.claimer.Lookup(now, key, id, body) })
 
 	return o, a, d
 }
--- a/internal/registrar/registrar.go
+++ b/internal/registrar/registrar.go
@@ -1,5 +1,5 @@
-// Package registrar claims calls that may not be repeated, and records how they
-// ended, through streams in the platform's log.
+// Package registrar claims idempotency keys of calls that must not be repeated, and records
+// the results of these calls, in streams of the platform's log.
 package registrar
 
 import (
@@ -24,34 +24,35 @@
 const (
 	// partitions is the number of claims streams.
 	partitions = 64
-	// lifetimeMargin is how long after the deadline of a call its answer may
-	// still be recorded before others are told that it is unknown.
-	lifetimeMargin = 5 * time.Second
-	// callTimeout is how long a home may take for one append and its read.
-	callTimeout = 5 * time.Second
-	// releaseTries and releasePause are how a claim that was not sent is
-	// released while the log can't be reached.
-	releaseTries = 20
-	releasePause = 500 * time.Millisecond
-	// settleRoom is how much of an answer is recorded, in bytes.
-	settleRoom = 4 << 10
-	retryPause = 300 * time.Millisecond
+	// answerMargin is how long after a call's deadline its answer may still be recorded before
+	// repeats receive the outcome Unknown.
+	answerMargin = 5 * time.Second
+	// homeTimeout is how long a home (home node) may take for one append and its read.
+	homeTimeout = 5 * time.Second
+	// settleAttempts and settleRetryInterval bound the attempts at a settlement while the log can't be
+	// reached.
+	settleAttempts      = 20
+	settleRetryInterval = 500 * time.Millisecond
+	// maxRecordedBody is the longest body that is recorded with an answer, in bytes.
+	maxRecordedBody = 4 << 10
+	// minRetryAfter is the shortest RetryAfter of a status that was read after an append.
+	minRetryAfter = 300 * time.Millisecond
 )
 
-// peers calls other routers.
+// peers sends requests to other routers.
 type peers interface {
 	Call(c context.Context, a netip.AddrPort, k wire.Kind, q msgp.Marshaler, r msgp.Unmarshaler) error
 }
 
-// members says which routers are live.
+// members is the cluster membership.
 type members interface {
 	Home(key uint64, centres []string) (gossiper.Member, bool)
 	Suspect(id uint64)
 	Self() gossiper.Member
 }
 
-// pauses knows when this process stood still.
-type pauses interface {
+// stallMonitor reports whether this process was stalled at some point since a time.
+type stallMonitor interface {
 	Stalled(since time.Time) bool
 }
 
@@ -60,29 +61,30 @@
 	Key  uint64
 	Body uint64
 	ID   uint64
-	// Within is how long the call may take.
-	Within time.Duration
+	// Timeout is the time left until the call's deadline.
+	Timeout time.Duration
 }
 
-// Standing is how a claim stands.
-type Standing struct {
+// Status is the outcome of a claim, with the recorded answer if the call ran and the time
+// after which the caller may retry.
+type Status struct {
 	Outcome    claimer.Outcome
 	Answer     claimer.Answer
 	RetryAfter time.Duration
 }
 
-// Registrar claims and settles keys. It is safe for concurrent use.
+// Registrar claims and settles idempotency keys. It is safe for concurrent use.
 type Registrar struct {
-	peers      peers
-	members    members
-	pauses     pauses
-	partitions [partitions]*partition
+	peers        peers
+	members      members
+	stallMonitor stallMonitor
+	partitions   [partitions]*partition
 }
 
-// New returns a Registrar that has read nothing. A key is remembered for the
-// window after its claim.
-func New(l streamer.Log, p peers, m members, x pauses, window time.Duration) *Registrar {
-	r := &Registrar{peers: p, members: m, pauses: x}
+// New returns a Registrar that has read no records yet. It retains a key for the window after
+// its claim.
+func New(l streamer.Log, p peers, m members, x stallMonitor, window time.Duration) *Registrar {
+	r := &Registrar{peers: p, members: m, stallMonitor: x}
 
 	for i := range r.partitions {
 		r.partitions[i] = newPartition(l, fmt.Sprintf("claims-%02d", i), window)
@@ -91,7 +93,7 @@
 	return r
 }
 
-// Register makes the Registrar answer peers.
+// Register registers the handlers for messages of other routers.
 func (r *Registrar) Register(m interface {
 	Handle(k wire.Kind, h messenger.Handler)
 },
@@ -100,62 +102,63 @@
 	m.Handle(wire.KindSettle, r.onSettle)
 }
 
-// Claim claims a key and says how it stands: only with Won may the call be
-// sent. It asks the home of the key's partition, which reads only its own
-// partitions; when that can't be asked, it claims from here with the same ID,
-// which is the same claim. It fails with ErrNotClaimed when the log can't be
-// reached; the call is then not run.
-func (r *Registrar) Claim(c context.Context, q Claim) (Standing, error) {
-	s, err := r.ask(c, q)
+// Claim claims a key and returns its status. The call may be sent only if the outcome is Won.
+//
+// The claim is forwarded to the home (home node) of the key's partition, so that each router
+// reads only the partitions that it is home to. If the home fails, this router claims the key
+// itself under the same ID, which counts as the same claim. Claim fails with ErrNotClaimed
+// when the log can't be reached; the call must not be sent then.
+func (r *Registrar) Claim(c context.Context, q Claim) (Status, error) {
+	s, err := r.claimAtHome(c, q)
 	if err != nil {
-		// Only the router that would send may release the claim. If the home
-		// did, while this router claims with the same ID from here and wins,
-		// the key would be free while the call runs, and a retry would run it
-		// again.
+		// Only the router that would send the call may release the claim. If the home
+		// released it while this router claims under the same ID and wins, the key would be
+		// unclaimed while the call runs, and a retry would run the call again.
 		go func() { _ = r.Settle(context.WithoutCancel(c), q, claimer.NotRun, claimer.Answer{}) }()
 	}
 
 	return s, err
 }
 
-// ask claims at the key's home, or from here when that can't be asked.
-func (r *Registrar) ask(c context.Context, q Claim) (Standing, error) {
+// claimAtHome claims a key at its home, or locally if the home fails.
+func (r *Registrar) claimAtHome(c context.Context, q Claim) (Status, error) {
 	h, ok := r.members.Home(q.Key%partitions, nil)
 	if !ok || h.ID == r.members.Self().ID {
-		return r.claim(c, q)
+		return r.claimLocally(c, q)
 	}
 
-	w := wire.Claim{Key: q.Key, Body: q.Body, ID: q.ID, DeadlineMs: q.Within.Milliseconds()}
+	w := wire.Claim{Key: q.Key, Body: q.Body, ID: q.ID, DeadlineMs: q.Timeout.Milliseconds()}
 
-	x, stop := context.WithTimeout(c, callTimeout)
+	x, stop := context.WithTimeout(c, homeTimeout)
 	defer stop()
 
 	b := time.Now()
 
 	var a wire.ClaimReply
 	if err := r.peers.Call(x, h.Address, wire.KindClaim, &w, &a); err != nil {
-		// A time that ran out while this process stood still says nothing of the
-		// home. Passed over for it, the home of all keys of its partitions moves for
-		// some seconds, and each claim meanwhile reads the partition again elsewhere.
-		if !errors.Is(err, messenger.ErrRefused) && (!detector.TimedOut(err) || !r.pauses.Stalled(b)) {
+		// A timeout while this process was stalled is no evidence against the home. If the
+		// home were suspected for it, its partitions would move to other routers for some
+		// seconds, and claims there would have to read the partitions first.
+		if !errors.Is(err, messenger.ErrRefused) && (!detector.TimedOut(err) || !r.stallMonitor.Stalled(b)) {
 			r.members.Suspect(h.ID)
 		}
 
-		return r.claim(c, q)
+		return r.claimLocally(c, q)
 	}
 
-	return Standing{
+	return Status{
 		Outcome:    claimer.Outcome(a.State),
 		Answer:     claimer.Answer{Status: a.Status, ContentType: a.ContentType, Body: a.Answer, Truncated: a.Truncated},
 		RetryAfter: time.Duration(a.RetryAfterMs) * time.Millisecond,
 	}, nil
 }
 
-// Settle records how a claimed call ended: Ran with its answer, Unknown, or
-// NotRun to release the key. It returns once the record is in the log, or gives
-// up after about ten seconds, when the key stays claimed and turns unknown.
+// Settle records the outcome of a claimed call: Ran with its answer, Unknown, or NotRun to
+// release the key. It returns once the settlement is in the log. After 20 attempts, which
+// wait 500 ms in between, it fails with ErrNotClaimed; the key then remains claimed, and its
+// outcome becomes Unknown when the claim's lifetime ends.
 func (r *Registrar) Settle(c context.Context, q Claim, o claimer.Outcome, a claimer.Answer) error {
-	if len(a.Body) > settleRoom {
+	if len(a.Body) > maxRecordedBody {
 		a.Body = nil
 		a.Truncated = true
 	}
@@ -167,12 +170,12 @@
 
 	var err error
 
-	for range releaseTries {
+	for range settleAttempts {
 		if err = r.settleOnce(c, w); err == nil {
 			return nil
 		}
 
-		t := time.NewTimer(releasePause)
+		t := time.NewTimer(settleRetryInterval)
 		select {
 		case <-t.C:
 		case <-c.Done():
@@ -190,7 +193,7 @@
 func (r *Registrar) settleOnce(c context.Context, w wire.Settle) error {
 	h, ok := r.members.Home(w.Key%partitions, nil)
 	if ok && h.ID != r.members.Self().ID {
-		x, stop := context.WithTimeout(c, callTimeout)
+		x, stop := context.WithTimeout(c, homeTimeout)
 		defer stop()
 
 		var a wire.SettleReply
@@ -199,30 +202,30 @@
 		}
 	}
 
-	return r.settle(c, w)
+	return r.settleLocally(c, w)
 }
 
-// claim claims from here.
-func (r *Registrar) claim(c context.Context, q Claim) (Standing, error) {
+// claimLocally appends a claim to the log from this router and returns its status.
+func (r *Registrar) claimLocally(c context.Context, q Claim) (Status, error) {
 	p := r.partitions[q.Key%partitions]
 
-	// A key that is known costs no append: its answer is replayed also while
-	// the log takes none.
-	if o, a, d := p.look(q.Key, q.ID, q.Body); o != claimer.Unclaimed {
+	// A key whose claim was already read needs no append, so that recorded answers are
+	// replayed even while the log accepts no appends.
+	if o, a, d := p.lookup(q.Key, q.ID, q.Body); o != claimer.Unclaimed {
 		if o != claimer.InProgress || p.CatchUp(c, 0) != nil {
-			return Standing{Outcome: o, Answer: a, RetryAfter: d}, nil
+			return Status{Outcome: o, Answer: a, RetryAfter: d}, nil
 		}
 
-		if o, a, d = p.look(q.Key, q.ID, q.Body); o != claimer.Unclaimed {
-			return Standing{Outcome: o, Answer: a, RetryAfter: d}, nil
+		if o, a, d = p.lookup(q.Key, q.ID, q.Body); o != claimer.Unclaimed {
+			return Status{Outcome: o, Answer: a, RetryAfter: d}, nil
 		}
 	}
 
-	n, err := p.append(c, claimer.Record{Key: q.Key, ID: q.ID, Body: q.Body, Lifetime: q.Within + lifetimeMargin})
+	n, err := p.append(c, claimer.Record{Key: q.Key, ID: q.ID, Body: q.Body, Lifetime: q.Timeout + answerMargin})
 	if errors.Is(err, recorder.ErrUncertain) {
-		// The reply was lost; whether the append took effect only the stream
-		// can tell. Guessing "no" and appending again would be harmless here,
-		// guessing "yes" would send without a claim.
+		// The reply was lost, and only the stream shows whether the append took effect.
+		// Appending again would be harmless, but assuming success would permit sending
+		// without a claim, so the stream is read to its end.
 		n, err = 0, nil
 	}
 
@@ -231,24 +234,24 @@
 	}
 
 	if err != nil {
-		return Standing{}, errors.Mark(err, ErrNotClaimed)
+		return Status{}, errors.Mark(err, ErrNotClaimed)
 	}
 
-	o, a, d := p.look(q.Key, q.ID, q.Body)
+	o, a, d := p.lookup(q.Key, q.ID, q.Body)
 	if o == claimer.Unclaimed {
-		return Standing{}, ErrNotClaimed
+		return Status{}, ErrNotClaimed
 	}
 
-	return Standing{Outcome: o, Answer: a, RetryAfter: max(d, retryPause)}, nil
+	return Status{Outcome: o, Answer: a, RetryAfter: max(d, minRetryAfter)}, nil
 }
 
-func (r *Registrar) settle(c context.Context, w wire.Settle) error {
+func (r *Registrar) settleLocally(c context.Context, w wire.Settle) error {
 	x := claimer.Record{Key: w.Key, ID: w.ID, Settled: claimer.Outcome(w.State)}
 	if x.Settled == claimer.Ran {
 		x.Answer = &claimer.Answer{Status: w.Status, ContentType: w.ContentType, Body: w.Answer, Truncated: w.Truncated}
 	}
 
-	// Settling twice is harmless, so an uncertain append is simply repeated.
+	// Settling is idempotent, so an uncertain append is repeated by the caller.
 	_, err := r.partitions[w.Key%partitions].append(c, x)
 
 	return err
@@ -260,8 +263,8 @@
 		return nil, errors.Mark(err, ErrMessage)
 	}
 
-	s, err := r.claim(c, Claim{
-		Key: w.Key, Body: w.Body, ID: w.ID, Within: time.Duration(w.DeadlineMs) * time.Millisecond,
+	s, err := r.claimLocally(c, Claim{
+		Key: w.Key, Body: w.Body, ID: w.ID, Timeout: time.Duration(w.DeadlineMs) * time.Millisecond,
 	})
 	if err != nil {
 		return nil, err
@@ -280,5 +283,5 @@
 		return nil, errors.Mark(err, ErrMessage)
 	}
 
-	return &wire.SettleReply{Recorded: r.settle(c, w) == nil}, nil
+	return &wire.SettleReply{Recorded: r.settleLocally(c, w) == nil}, nil
 }
--- a/internal/registrar/registrar_test.go
+++ b/internal/registrar/registrar_test.go
@@ -25,24 +25,24 @@
 	"github.com/auburntray/auburntray/internal/wire"
 )
 
-// alone is a router that takes itself, or another, for every key's home.
-type alone struct{ home uint64 }
+// fakeMembers is a fake of the membership, with one router as the home of all keys.
+type fakeMembers struct{ home uint64 }
 
-func (a alone) Home(uint64, []string) (gossiper.Member, bool) {
+func (a fakeMembers) Home(uint64, []string) (gossiper.Member, bool) {
 	return gossiper.Member{ID: a.home}, true
 }
-func (alone) Suspect(uint64)        {}
-func (alone) Self() gossiper.Member { return gossiper.Member{ID: 1} }
+func (fakeMembers) Suspect(uint64)        {}
+func (fakeMembers) Self() gossiper.Member { return gossiper.Member{ID: 1} }
 
-// process is a fake of this process; true says that it just stood still.
+// process is a fake of the stall detector; true means that this process was just stalled.
 type process bool
 
 func (p process) Stalled(time.Time) bool { return bool(p) }
 
-// peers answers calls to the home; without a registrar it can't be reached.
+// peers is a fake of the home, which is unreachable without a Registrar.
 type peers struct {
 	home *registrar.Registrar
-	// lose loses the reply after the home has acted.
+	// lose discards the home's reply after the request was handled.
 	lose bool
 }
 
@@ -82,7 +82,7 @@
 
 func (h handlers) Handle(k wire.Kind, f messenger.Handler) { h[k] = f }
 
-// newLog starts a stand-in of the platform.
+// newLog starts a stand-in for the platform.
 func newLog(t *testing.T) (*platform.Platform, netip.AddrPort) {
 	t.Helper()
 
@@ -99,16 +99,16 @@
 	r, stop := recorder.New(a, "dc-1")
 	t.Cleanup(stop)
 
-	return registrar.New(r, p, alone{home}, process(false), time.Hour)
+	return registrar.New(r, p, fakeMembers{home}, process(false), time.Hour)
 }
 
 func claim(key, id uint64) registrar.Claim {
-	return registrar.Claim{Key: key, ID: id, Body: 5, Within: time.Minute}
+	return registrar.Claim{Key: key, ID: id, Body: 5, Timeout: time.Minute}
 }
 
-// Two routers both take themselves for the home of a key, and a booking comes to
-// both at once. Each appends its claim and both are told that theirs is in the
-// log; only the first by offset may send.
+// Guards against a call that runs twice when two routers both consider themselves the home
+// of a key. Both append a claim for the same call; only the one with the lower offset may
+// send it.
 func TestTwoHomesClaimOneKey(t *testing.T) {
 	i := is.New(t)
 	_, a := newLog(t)
@@ -134,9 +134,9 @@
 	}
 }
 
-// The log is down, loses replies, or the home can't be asked. Whatever happens,
-// a claim that is reported lost is never won later, and the key is not lost with
-// it: the caller's next try runs.
+// Guards against keys that remain claimed after a claim failed. The log is unavailable or
+// loses replies, or the home fails: a failed claim must be released, so that the caller's
+// next attempt wins the key.
 func TestClaimUnderFaults(t *testing.T) {
 	for name, tc := range map[string]struct {
 		faults platform.Faults
@@ -145,14 +145,14 @@
 		want   claimer.Outcome
 		err    bool
 	}{
-		"nothing fails":                      {want: claimer.Won},
-		"the append's reply is lost":         {faults: platform.Faults{LoseReplies: 1}, want: claimer.Won},
-		"the log is down":                    {faults: platform.Faults{Outage: true}, err: true},
-		"the home answers":                   {home: 2, peers: healthy, want: claimer.Won},
-		"the home can't be reached":          {home: 2, peers: func(*testing.T, netip.AddrPort) *peers { return &peers{} }, want: claimer.Won},
-		"the home's reply is lost":           {home: 2, peers: lossy, want: claimer.Won},
-		"the home's append's reply is lost":  {home: 2, peers: healthy, faults: platform.Faults{LoseReplies: 1}, want: claimer.Won},
-		"the home and the log can't be used": {home: 2, peers: healthy, faults: platform.Faults{Outage: true}, err: true},
+		"no fault":                        {want: claimer.Won},
+		"reply to the append lost":        {faults: platform.Faults{LoseReplies: 1}, want: claimer.Won},
+		"log unavailable":                 {faults: platform.Faults{Outage: true}, err: true},
+		"home answers":                    {home: 2, peers: healthy, want: claimer.Won},
+		"home unreachable":                {home: 2, peers: func(*testing.T, netip.AddrPort) *peers { return &peers{} }, want: claimer.Won},
+		"reply of the home lost":          {home: 2, peers: lossy, want: claimer.Won},
+		"reply to the home's append lost": {home: 2, peers: healthy, faults: platform.Faults{LoseReplies: 1}, want: claimer.Won},
+		"home and log unavailable":        {home: 2, peers: healthy, faults: platform.Faults{Outage: true}, err: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
@@ -181,8 +181,8 @@
 			i.True(errors.Is(err, registrar.ErrNotClaimed))
 			p.SetFaults(platform.Faults{})
 
-			// The lost claim is released in the background; the next try wins.
-			waiter.Until(t, "the release of the lost claim", func() bool {
+			// The failed claim is released in the background, and then the next claim wins.
+			waiter.Until(t, "the release of the failed claim", func() bool {
 				s, err := r.Claim(t.Context(), claim(1, 2))
 
 				return err == nil && s.Outcome == claimer.Won
@@ -191,38 +191,38 @@
 	}
 }
 
-// watched notes that the home was passed over.
-type watched struct {
-	alone
+// watchedMembers records whether the home was suspected.
+type watchedMembers struct {
+	fakeMembers
 	suspected bool
 }
 
-func (w *watched) Suspect(uint64) { w.suspected = true }
+func (w *watchedMembers) Suspect(uint64) { w.suspected = true }
 
-// failing fails each call.
-type failing struct{ err error }
+// failingPeers fails each request.
+type failingPeers struct{ err error }
 
-func (f failing) Call(context.Context, netip.AddrPort, wire.Kind, msgp.Marshaler, msgp.Unmarshaler) error {
+func (f failingPeers) Call(context.Context, netip.AddrPort, wire.Kind, msgp.Marshaler, msgp.Unmarshaler) error {
 	return f.err
 }
 
-// This router stands still while it asks a key's home for a claim, and on waking the
-// time of the call has run out. The home is not passed over for it; one that is mute
-// while this router runs, or refuses the connection, is. The call goes on either way.
-func TestAPauseIsNotHeldAgainstAKeysHome(t *testing.T) {
+// Guards against suspecting a key's home because this router was stalled: the request to
+// the home times out during the stall, though the home is live. A home that times out while
+// this router runs, or refuses connections, is suspected. The claim succeeds either way.
+func TestStallDoesNotSuspectTheHome(t *testing.T) {
 	late := errors.Mark(context.DeadlineExceeded, messenger.ErrTimeout)
 	refused := errors.Mark(syscall.ECONNREFUSED, messenger.ErrUnreachable)
 
 	for name, tc := range map[string]struct {
 		err       error
-		still     process
+		stalled   process
 		suspected bool
 	}{
-		"stood still, out of time": {err: late, still: true},
-		"runs, out of time":        {err: late, suspected: true},
-		"stood still, refused":     {err: refused, still: true, suspected: true},
-		"runs, refused":            {err: refused, suspected: true},
-		"the home could not":       {err: messenger.ErrRefused},
+		"stalled, timeout":            {err: late, stalled: true},
+		"running, timeout":            {err: late, suspected: true},
+		"stalled, connection refused": {err: refused, stalled: true, suspected: true},
+		"running, connection refused": {err: refused, suspected: true},
+		"home returned an error":      {err: messenger.ErrRefused},
 	} {
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
@@ -231,8 +231,8 @@
 			l, stop := recorder.New(a, "dc-1")
 			defer stop()
 
-			m := &watched{alone: alone{home: 2}}
-			s, err := registrar.New(l, failing{err: tc.err}, m, tc.still, time.Hour).Claim(t.Context(), claim(1, 1))
+			m := &watchedMembers{fakeMembers: fakeMembers{home: 2}}
+			s, err := registrar.New(l, failingPeers{err: tc.err}, m, tc.stalled, time.Hour).Claim(t.Context(), claim(1, 1))
 			i.NoErr(err)
 			i.Equal(s.Outcome, claimer.Won)
 			i.Equal(m.suspected, tc.suspected)
@@ -252,21 +252,21 @@
 	return &peers{home: newRegistrar(t, a, 1, nil), lose: true}
 }
 
-// The home appends the claim, but can't read it back, and reports that it was
-// not claimed. The entry claims from where it is, under the same ID, wins and
-// sends. Had the home released "its" claim meanwhile, the key would be free while
-// the booking runs, and a second try would book again.
+// Guards against a home that releases a claim on its own. The home appends the claim but
+// can't read the stream, and reports a failure. The entry router claims under the same ID,
+// wins and sends the call. If the home released the claim, the key would be unclaimed while
+// the call runs, and a retry would run it again.
 func TestOnlyTheSenderReleases(t *testing.T) {
 	i := is.New(t)
 	_, a := newLog(t)
-	blind := &peers{home: registrar.New(&blindLog{t: t, address: a}, nil, alone{1}, process(false), time.Hour)}
-	entry := newRegistrar(t, a, 2, blind)
+	home := &peers{home: registrar.New(&unreadableLog{t: t, address: a}, nil, fakeMembers{1}, process(false), time.Hour)}
+	entry := newRegistrar(t, a, 2, home)
 
 	s, err := entry.Claim(t.Context(), claim(1, 1))
 	i.NoErr(err)
 	i.Equal(s.Outcome, claimer.Won)
 
-	// Whatever the home has under way gets its time.
+	// Leaves time for appends that the home may have started.
 	time.Sleep(200 * time.Millisecond)
 
 	other := newRegistrar(t, a, 1, nil)
@@ -275,24 +275,24 @@
 	i.Equal(s.Outcome, claimer.InProgress)
 }
 
-// blindLog appends and can't read.
-type blindLog struct {
+// unreadableLog is a log that accepts appends and fails reads.
+type unreadableLog struct {
 	t       *testing.T
 	address netip.AddrPort
 }
 
-func (b *blindLog) Append(c context.Context, s string, d [][]byte) (uint64, error) {
+func (b *unreadableLog) Append(c context.Context, s string, d [][]byte) (uint64, error) {
 	r, stop := recorder.New(b.address, "dc-1")
 	defer stop()
 
 	return r.Append(c, s, d)
 }
 
-func (*blindLog) Read(context.Context, string, uint64, time.Duration) (recorder.Batch, error) {
+func (*unreadableLog) Read(context.Context, string, uint64, time.Duration) (recorder.Batch, error) {
 	return recorder.Batch{}, recorder.ErrDown
 }
 
-func TestARepeatGetsTheRecordedAnswer(t *testing.T) {
+func TestRepeatReceivesTheRecordedAnswer(t *testing.T) {
 	i := is.New(t)
 	p, a := newLog(t)
 	r, other := newRegistrar(t, a, 1, nil), newRegistrar(t, a, 1, nil)
@@ -309,7 +309,7 @@
 		i.Equal(string(s.Answer.Body), "booked")
 	}
 
-	// Also while the log is down, from where it is known.
+	// A router that has read the answer replays it while the log is unavailable.
 	p.SetFaults(platform.Faults{Outage: true})
 
 	s, err := other.Claim(t.Context(), claim(1, 3))
@@ -317,9 +317,9 @@
 	i.Equal(s.Outcome, claimer.Ran)
 }
 
-// Many bookings come at once. One append each would pass the log's few hundred
-// a second; those that come while an append is under way go in one together.
-func TestClaimsGoInGroups(t *testing.T) {
+// Guards against one append per claim, which would exceed the few hundred appends a second
+// that the log accepts. Claims that arrive during an append share the next one.
+func TestClaimsAreBatched(t *testing.T) {
 	i := is.New(t)
 	p, a := newLog(t)
 	p.SetFaults(platform.Faults{SlowMs: 20})
@@ -330,7 +330,7 @@
 
 	for n := range uint64(200) {
 		g.Go(func() {
-			_, err := r.Claim(t.Context(), claim(n*64, n+1)) // one partition
+			_, err := r.Claim(t.Context(), claim(n*64, n+1)) // All keys belong to one partition.
 			if err != nil {
 				t.Error(err)
 			}
@@ -349,7 +349,7 @@
 	x, stop := recorder.New(netip.MustParseAddrPort(strings.TrimPrefix(s.URL, "http://")), "dc-1")
 	defer stop()
 
-	r := registrar.New(x, nil, alone{1}, process(false), time.Hour)
+	r := registrar.New(x, nil, fakeMembers{1}, process(false), time.Hour)
 	n := uint64(0)
 
 	for b.Loop() {
--- a/internal/reserver/reserver.go
+++ b/internal/reserver/reserver.go
@@ -20,7 +20,7 @@
 	"github.com/tinylib/msgp/msgp"
 
 	"github.com/auburntray/auburntray/internal/aggregator"
-	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/discoverer"
 	"github.com/auburntray/auburntray/internal/gossiper"
 	"github.com/auburntray/auburntray/internal/hasher"
 	"github.com/auburntray/auburntray/internal/wire"
@@ -84,7 +84,7 @@
 
 // Reserve requests a slot for a call at a target. It sets the ID and the Target of the request. The
 // outcome is Unanswered if the target has no home or its home does not reply.
-func (r *Reserver) Reserve(c context.Context, t *enroller.Target, q aggregator.Request) (aggregator.Verdict, Release) {
+func (r *Reserver) Reserve(c context.Context, t *discoverer.Target, q aggregator.Request) (aggregator.Verdict, Release) {
 	h, ok := r.home(t)
 	if !ok {
 		return aggregator.Verdict{}, func(aggregator.Result, float64) {}
@@ -109,7 +109,7 @@
 }
 
 // Report sends the number of calls that a target reported to the target's home.
-func (r *Reserver) Report(t *enroller.Target, calls int) {
+func (r *Reserver) Report(t *discoverer.Target, calls int) {
 	h, ok := r.home(t)
 	if !ok {
 		return
@@ -127,11 +127,11 @@
 }
 
 // Forget drops the counts of the targets that are not in a changed registry.
-func (r *Reserver) Forget(l *enroller.Roster) {
+func (r *Reserver) Forget(l *discoverer.Registry) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
-	r.aggregator.Retain(func(n enroller.Name) bool { return l.Names[n] != nil })
+	r.aggregator.Retain(func(n discoverer.Name) bool { return l.Names[n] != nil })
 }
 
 // HandleReserve handles a request of another instance for a slot.
@@ -142,7 +142,7 @@
 	}
 
 	v := r.reserve(aggregator.Request{
-		ID: aggregator.ID{Instance: from, Number: q.Number}, Target: enroller.Name(q.Target), MaxCalls: int(q.Most),
+		ID: aggregator.ID{Instance: from, Number: q.Number}, Target: discoverer.Name(q.Target), MaxCalls: int(q.Most),
 		Deadline: time.Now().Add(time.Duration(q.WithinMs) * time.Millisecond), MedianLatency: fraction(q.Usual), AllowExcluded: q.Anyway,
 	})
 
@@ -156,7 +156,7 @@
 		return nil, errors.Mark(err, ErrReservation)
 	}
 
-	r.release(enroller.Name(w.Target), aggregator.ID{Instance: from, Number: w.Number}, aggregator.Result(w.Sign), fraction(w.Pace))
+	r.release(discoverer.Name(w.Target), aggregator.ID{Instance: from, Number: w.Number}, aggregator.Result(w.Sign), fraction(w.Pace))
 
 	return nil, nil //nolint:nilnil // It has no reply.
 }
@@ -174,7 +174,7 @@
 }
 
 // home returns the instance that counts a target's calls, and false if there is none or it is in backoff.
-func (r *Reserver) home(t *enroller.Target) (gossiper.Member, bool) {
+func (r *Reserver) home(t *discoverer.Target) (gossiper.Member, bool) {
 	if len(r.members.Live()) < minInstances {
 		return gossiper.Member{}, false
 	}
@@ -275,7 +275,7 @@
 	return r.aggregator.Reserve(time.Now(), q)
 }
 
-func (r *Reserver) release(n enroller.Name, id aggregator.ID, s aggregator.Result, latency float64) {
+func (r *Reserver) release(n discoverer.Name, id aggregator.ID, s aggregator.Result, latency float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
@@ -286,7 +286,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
-	r.aggregator.Report(time.Now(), enroller.Name(w.Target), int(w.Calls))
+	r.aggregator.Report(time.Now(), discoverer.Name(w.Target), int(w.Calls))
 }
 
 // send sends a message in the background. A lost release is repaired by the deadline of the reservation,
--- a/internal/reserver/reserver_test.go
+++ b/internal/reserver/reserver_test.go
@@ -14,7 +14,7 @@
 	"github.com/tinylib/msgp/msgp"
 
 	"github.com/auburntray/auburntray/internal/aggregator"
-	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/discoverer"
 	"github.com/auburntray/auburntray/internal/gossiper"
 	"github.com/auburntray/auburntray/internal/reserver"
 	"github.com/auburntray/auburntray/internal/wire"
@@ -118,11 +118,11 @@
 }
 
 // registry returns a registry with one target.
-func registry() *enroller.Roster {
-	e := enroller.New(enroller.DefaultSettings())
-	e.Set(enroller.Target{ID: "t", Group: "g", DataCentre: "dc", Slots: 2, Address: netip.MustParseAddrPort("10.1.0.1:80")})
+func registry() *discoverer.Registry {
+	e := discoverer.New(discoverer.DefaultSettings())
+	e.Set(discoverer.Target{ID: "t", Group: "g", DataCentre: "dc", Slots: 2, Address: netip.MustParseAddrPort("10.1.0.1:80")})
 
-	return e.Roster()
+	return e.Registry()
 }
 
 // Guards against instances that together exceed the bound of a target that each considers idle, whether
@@ -157,7 +157,7 @@
 				c, _ = f.instances[0].Reserve(t.Context(), x, request(2))
 				i.Equal(c.Outcome, aggregator.Full)
 
-				f.instances[home].Forget(enroller.New(enroller.DefaultSettings()).Roster())
+				f.instances[home].Forget(discoverer.New(discoverer.DefaultSettings()).Registry())
 
 				c, _ = f.instances[0].Reserve(t.Context(), x, request(2))
 				i.Equal(c.Outcome, aggregator.Granted)
--- a/internal/router/notifier.go
+++ b/internal/router/notifier.go
@@ -9,9 +9,9 @@
 
 	"github.com/auburntray/auburntray/internal/gossiper"
 	"github.com/auburntray/auburntray/internal/joiner"
-	"github.com/auburntray/auburntray/internal/keeper"
 	"github.com/auburntray/auburntray/internal/matcher"
 	"github.com/auburntray/auburntray/internal/messenger"
+	"github.com/auburntray/auburntray/internal/supervisor"
 	"github.com/auburntray/auburntray/internal/wire"
 )
 
@@ -20,19 +20,19 @@
 type notifier struct {
 	messenger  *messenger.Messenger
 	joiner     func() *joiner.Joiner
-	supervisor func() *keeper.Keeper
+	supervisor func() *supervisor.Supervisor
 }
 
-// Tell sends a cell's load to the home of another cell of its pool in the background. Lost
+// ReportCellLoad sends a cell's load to the home of another cell of its pool in the background. Lost
 // messages are not repeated, as the next load replaces them.
-func (t notifier) Tell(to *matcher.Cell, w wire.CellLoad) {
+func (t notifier) ReportCellLoad(to *matcher.Cell, w wire.CellLoad) {
 	h, ok := t.joiner().Home(uint64(to.ID), to.DataCentres)
 	if !ok {
 		return
 	}
 
 	if h.ID == t.joiner().Self().ID {
-		t.supervisor().Other(time.Now(), w)
+		t.supervisor().ReportCell(time.Now(), w)
 
 		return
 	}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -23,7 +23,6 @@
 	"github.com/auburntray/auburntray/internal/follower"
 	"github.com/auburntray/auburntray/internal/gossiper"
 	"github.com/auburntray/auburntray/internal/joiner"
-	"github.com/auburntray/auburntray/internal/keeper"
 	"github.com/auburntray/auburntray/internal/messenger"
 	"github.com/auburntray/auburntray/internal/quarantiner"
 	"github.com/auburntray/auburntray/internal/reconciler"
@@ -32,6 +31,7 @@
 	"github.com/auburntray/auburntray/internal/registrar"
 	"github.com/auburntray/auburntray/internal/resolver"
 	"github.com/auburntray/auburntray/internal/sender"
+	"github.com/auburntray/auburntray/internal/supervisor"
 	"github.com/auburntray/auburntray/internal/warner"
 )
 
@@ -43,7 +43,7 @@
 	settings   resolver.Router
 	follower   *follower.Follower
 	joiner     *joiner.Joiner
-	supervisor *keeper.Keeper
+	supervisor *supervisor.Supervisor
 	requester  *asker.Asker
 	reconciler *reconciler.Reconciler
 	messenger  *messenger.Messenger
@@ -123,7 +123,7 @@
 
 	Follower   *follower.Follower
 	Joiner     *joiner.Joiner
-	Supervisor *keeper.Keeper
+	Supervisor *supervisor.Supervisor
 	Requester  *asker.Asker
 	Registrar  *registrar.Registrar
 	Reconciler *reconciler.Reconciler
@@ -136,15 +136,15 @@
 	var o components
 
 	b := time.Now()
-	o.Supervisor = keeper.New(granterSettings(s), self.ID, func() *follower.Config { return o.Follower.Config() }, t,
-		notifier{messenger: m, joiner: func() *joiner.Joiner { return o.Joiner }, supervisor: func() *keeper.Keeper { return o.Supervisor }}, p)
+	o.Supervisor = supervisor.New(granterSettings(s), self.ID, func() *follower.Config { return o.Follower.Config() }, t,
+		notifier{messenger: m, joiner: func() *joiner.Joiner { return o.Joiner }, supervisor: func() *supervisor.Supervisor { return o.Supervisor }}, p)
 	o.Follower = follower.New(r, m, func(f *follower.Config) { applyConfig(&o, f) }, func() bool { return isKeyHome(o.Joiner, checkpointKey, b) }, s.CheckpointEvery)
 
 	g := gossiper.New(gossiper.DefaultSettings(), mathrand.New(mathrand.NewPCG(self.ID, 0)), self) //nolint:gosec // Not used for secrets.
 	o.Joiner = joiner.New(m, r, g, self, s.Seeds, joiner.Hooks{
 		Revision: func() uint64 { return o.Follower.Revision() },
 		Ahead:    aheadHandler(o.Follower),
-		Seen:     o.Supervisor.Seen,
+		Seen:     o.Supervisor.ObserveInstance,
 	})
 	o.Requester = asker.New(m, o.Joiner, o.Supervisor, n, p, s.AskTimeout)
 	o.Registrar = registrar.New(r, m, o.Joiner, p, s.ClaimWindow)
@@ -199,7 +199,7 @@
 	Settings   resolver.Router
 	Follower   *follower.Follower
 	Joiner     *joiner.Joiner
-	Supervisor *keeper.Keeper
+	Supervisor *supervisor.Supervisor
 	Requester  *asker.Asker
 	Registrar  *registrar.Registrar
 	Reconciler *reconciler.Reconciler
--- a/internal/router/run.go
+++ b/internal/router/run.go
@@ -45,7 +45,7 @@
 	n.Follow(counter.Revision, func() int64 { return int64(r.follower.Revision()) }) //nolint:gosec // Below 2^63.
 	n.Follow(counter.Routers, func() int64 { return int64(len(r.joiner.Live())) })
 	n.Follow(counter.InFlight, func() int64 { return int64(r.drainer.Running()) })
-	n.Follow(counter.Places, func() int64 { return int64(r.supervisor.Places()) })
+	n.Follow(counter.Places, func() int64 { return int64(r.supervisor.PlacementCount()) })
 	n.Follow(counter.PlatformBytes, r.recorder.Bytes)
 	n.Follow(counter.ControlSent, func() int64 { s, _ := r.messenger.Traffic().Bytes(); return s })
 	n.Follow(counter.ControlReceived, func() int64 { _, s := r.messenger.Traffic().Bytes(); return s })
@@ -186,7 +186,7 @@
 func (r *Router) handOver(c context.Context) {
 	n := 0
 
-	r.supervisor.Each(func(id uint32, l []wire.Place) {
+	r.supervisor.EachCell(func(id uint32, l []wire.Place) {
 		x := r.follower.Config().Matcher.Cell(id)
 		if x == nil {
 			return
--- a/internal/searcher/replay_test.go
+++ b/internal/searcher/replay_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 
 	"github.com/auburntray/auburntray/internal/aggregator"
-	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/discoverer"
 	"github.com/auburntray/auburntray/internal/searcher"
 )
 
@@ -99,7 +99,7 @@
 			n = least(known)
 		}
 
-		v := r.aggregator.Reserve(now, aggregator.Request{ID: c.id, Target: enroller.Name(n), MaxCalls: s.MaxCalls(slots), Deadline: now.Add(time.Minute)})
+		v := r.aggregator.Reserve(now, aggregator.Request{ID: c.id, Target: discoverer.Name(n), MaxCalls: s.MaxCalls(slots), Deadline: now.Add(time.Minute)})
 		known[n] = v.Calls
 
 		switch s.Next(v.Outcome) {
@@ -136,7 +136,7 @@
 	case ok && len(r.waiting[n]) < queueLimit:
 		r.waiting[n] = append(r.waiting[n], e.call)
 	default:
-		r.aggregator.Release(e.at, enroller.Name(n), e.call.id, aggregator.NoResult, 0)
+		r.aggregator.Release(e.at, discoverer.Name(n), e.call.id, aggregator.NoResult, 0)
 		r.refuse(e)
 	}
 }
@@ -164,7 +164,7 @@
 	}
 
 	r.running[e.service]--
-	r.aggregator.Release(e.at, enroller.Name(e.service), e.call.id, aggregator.NoResult, 0)
+	r.aggregator.Release(e.at, discoverer.Name(e.service), e.call.id, aggregator.NoResult, 0)
 
 	if l := r.waiting[e.service]; len(l) > 0 {
 		r.waiting[e.service] = l[1:]
--- a/internal/selector/backoff.go
+++ b/internal/selector/backoff.go
@@ -3,11 +3,11 @@
 import (
 	"time"
 
-	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/discoverer"
 )
 
 // StartBackoff starts a backoff of a target that refused a call and asked this instance for no calls for a time.
-func (c *Selector) StartBackoff(now time.Time, t *enroller.Target, d time.Duration) {
+func (c *Selector) StartBackoff(now time.Time, t *discoverer.Target, d time.Duration) {
 	c.suppressor.StartBackoff(now, t.Key(), d)
 
 	if c.state(t).isCurrent(t) {
@@ -16,12 +16,12 @@
 }
 
 // InBackoff reports whether a target is in a backoff.
-func (c *Selector) InBackoff(now time.Time, t *enroller.Target) bool {
+func (c *Selector) InBackoff(now time.Time, t *discoverer.Target) bool {
 	return c.suppressor.InBackoff(now, t.Key())
 }
 
 // Answered records that a target has begun to answer a call.
-func (c *Selector) Answered(now time.Time, t *enroller.Target) {
+func (c *Selector) Answered(now time.Time, t *discoverer.Target) {
 	c.suppressor.Answered(now, t.Key())
 
 	if c.suppressor.Wait(now, t.Key()) == 0 {
@@ -31,7 +31,7 @@
 
 // GroupBackoff reports whether all targets of a group that the call may be sent to are in a backoff, including those
 // it was sent to before. It returns the time until the first of them accepts calls.
-func (c *Selector) GroupBackoff(now time.Time, r *enroller.Roster, group string, q Query) (time.Duration, bool) {
+func (c *Selector) GroupBackoff(now time.Time, r *discoverer.Registry, group string, q Query) (time.Duration, bool) {
 	q.Excluded = nil
 	all := c.candidates(now, r, r.Groups[group], &q)
 	l, first := c.withoutBackoff(now, all)
--- a/internal/selector/backoff_replay_test.go
+++ b/internal/selector/backoff_replay_test.go
@@ -8,13 +8,13 @@
 
 	"github.com/matryer/is"
 
-	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/discoverer"
 	"github.com/auburntray/auburntray/internal/selector"
 )
 
 // backoffReplay simulates engines of which some refuse all calls and ask for a backoff each time.
 type backoffReplay struct {
-	roster    *enroller.Roster
+	roster    *discoverer.Registry
 	instances []*selector.Selector
 	refusing  map[string]bool
 	// until is when the backoff between an instance and an engine expires.
--- a/internal/selector/call.go
+++ b/internal/selector/call.go
@@ -3,11 +3,11 @@
 import (
 	"time"
 
-	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/discoverer"
 )
 
 // Start counts a call that is sent to a target.
-func (c *Selector) Start(now time.Time, t *enroller.Target) {
+func (c *Selector) Start(now time.Time, t *discoverer.Target) {
 	s := c.state(t)
 	s.running++
 
@@ -51,7 +51,7 @@
 }
 
 // ReportLoad records the load that a target reported. Reports without slots are ignored.
-func (c *Selector) ReportLoad(now time.Time, t *enroller.Target, r LoadReport) {
+func (c *Selector) ReportLoad(now time.Time, t *discoverer.Target, r LoadReport) {
 	if r.Slots == 0 {
 		return
 	}
@@ -77,14 +77,14 @@
 
 // ObservePace records the time until a target's answer began, as a fraction of the time within which it is fully
 // useful.
-func (c *Selector) ObservePace(now time.Time, t *enroller.Target, fraction float64) {
+func (c *Selector) ObservePace(now time.Time, t *discoverer.Target, fraction float64) {
 	if c.state(t).isCurrent(t) {
 		c.health.observePace(now, t, fraction)
 	}
 }
 
 // ReportPace applies the pace of a target that its home instance measured over the calls of all instances.
-func (c *Selector) ReportPace(t *enroller.Target, fraction float64) {
+func (c *Selector) ReportPace(t *discoverer.Target, fraction float64) {
 	if c.state(t).isCurrent(t) {
 		c.health.paces.SetLatency(t.Key(), fraction)
 	}
@@ -92,7 +92,7 @@
 
 // Finish removes a call from the count of the process that it was sent to and records its outcome. The outcome
 // is ignored if the process is no longer listed or has since moved to another address or group.
-func (c *Selector) Finish(now time.Time, t *enroller.Target, o Outcome) {
+func (c *Selector) Finish(now time.Time, t *discoverer.Target, o Outcome) {
 	s, ok := c.states[t.Key()]
 	if !ok {
 		return
@@ -122,7 +122,7 @@
 //
 // A process that moved to another address or group keeps its load and its placements but not its health
 // status, since it failed or was unreachable at the other address.
-func (c *Selector) ApplyRegistry(now time.Time, r *enroller.Roster) {
+func (c *Selector) ApplyRegistry(now time.Time, r *discoverer.Registry) {
 	c.listed = r.Processes
 	c.departed.expire(now, r)
 
@@ -150,7 +150,7 @@
 }
 
 // dropIfIdle drops the state of a process that is not listed and has no calls.
-func (c *Selector) dropIfIdle(k enroller.Key, s *state) {
+func (c *Selector) dropIfIdle(k discoverer.Key, s *state) {
 	if s.unlisted && s.running == 0 {
 		delete(c.states, k)
 	}
--- a/internal/selector/candidate.go
+++ b/internal/selector/candidate.go
@@ -5,13 +5,13 @@
 	"slices"
 	"time"
 
-	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/discoverer"
 	"github.com/auburntray/auburntray/internal/hasher"
 )
 
 // candidate is a target that a call may be sent to, with values that the selection needs several times.
 type candidate struct {
-	target *enroller.Target
+	target *discoverer.Target
 	load   float64
 	// shed reports whether the target refused a call within shedAvoidance.
 	shed bool
@@ -20,7 +20,7 @@
 }
 
 // candidates returns the targets of a list that the call may be sent to and was not sent to before.
-func (c *Selector) candidates(now time.Time, r *enroller.Roster, l []*enroller.Target, q *Query) []candidate {
+func (c *Selector) candidates(now time.Time, r *discoverer.Registry, l []*discoverer.Target, q *Query) []candidate {
 	o := make([]candidate, 0, len(l))
 
 	for _, t := range l {
@@ -97,7 +97,7 @@
 // calls that exceed the bound of one target reach the same next target, which has the prompt cached from
 // earlier ones. If no candidate is within the bound, it returns the least loaded; of several, the first in the
 // order.
-func pickBounded(l []candidate, bound float64, key uint64, holders []enroller.Key) candidate {
+func pickBounded(l []candidate, bound float64, key uint64, holders []discoverer.Key) candidate {
 	var o, h, b ranked
 
 	for _, x := range l {
@@ -127,7 +127,7 @@
 }
 
 // firstRanked returns the first target in the rendezvous order of a key, regardless of its load.
-func firstRanked(l []candidate, key uint64) *enroller.Target {
+func firstRanked(l []candidate, key uint64) *discoverer.Target {
 	var o ranked
 
 	for _, x := range l {
@@ -143,7 +143,7 @@
 const spreadFactor = 3
 
 // pickForPrompt returns the candidate for a call with a prompt. holders are known to have the prompt cached.
-func pickForPrompt(l []candidate, bound float64, holders []enroller.Key, q Query) candidate {
+func pickForPrompt(l []candidate, bound float64, holders []discoverer.Key, q Query) candidate {
 	if q.Declined > 1 {
 		return pickSpread(l, bound, holders, q)
 	}
@@ -157,7 +157,7 @@
 //
 // A prompt that a tenth of all calls share fills ten targets and more. If all calls tried them one by one in
 // the same order, each would request a slot at every full target first, or be sent to a full one.
-func pickSpread(l []candidate, bound float64, holders []enroller.Key, q Query) candidate {
+func pickSpread(l []candidate, bound float64, holders []discoverer.Key, q Query) candidate {
 	k := q.Prefixes[0].Key
 	r := make([]ranked, 0, len(l))
 
--- a/internal/selector/cold.go
+++ b/internal/selector/cold.go
@@ -5,12 +5,12 @@
 	"sync"
 	"time"
 
-	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/discoverer"
 )
 
 // cold reports whether a target can only serve a low rate of calls: because its entry says so, or because its
 // data centre was reopened recently and the target's updated entry may not have been read yet.
-func (q *Query) cold(now time.Time, r *enroller.Roster, t *enroller.Target) bool {
+func (q *Query) cold(now time.Time, r *discoverer.Registry, t *discoverer.Target) bool {
 	if q.ColdRate <= 0 {
 		return false
 	}
--- a/internal/selector/cold_replay_test.go
+++ b/internal/selector/cold_replay_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/discoverer"
 	"github.com/auburntray/auburntray/internal/selector"
 	"github.com/auburntray/auburntray/internal/throttler"
 )
@@ -103,7 +103,7 @@
 func replaySurge(l []*instance, every int, hot float64) (worst int, served float64) {
 	type call struct {
 		from   *instance
-		target *enroller.Target
+		target *discoverer.Target
 		ends   time.Time
 	}
 
@@ -187,15 +187,15 @@
 func TestBoundWithoutReachableTargets(t *testing.T) {
 	i := is.New(t)
 	now := time.Unix(1000, 0)
-	e := enroller.New(enroller.DefaultSettings())
+	e := discoverer.New(discoverer.DefaultSettings())
 	c := selector.New(selector.DefaultSettings())
 	c.Throttle(throttler.Settings{Coverage: 1}, func() throttler.Fleet { return throttler.Fleet{} })
 
 	for id, cold := range map[string]time.Duration{"warm": 0, "cold": time.Minute} {
-		e.Set(enroller.Target{ID: id, Group: group, DataCentre: "a", Slots: 8, Cold: cold}.Seen(now, nil))
+		e.Set(discoverer.Target{ID: id, Group: group, DataCentre: "a", Slots: 8, Cold: cold}.WithReadTime(now, nil))
 	}
 
-	r := e.Roster()
+	r := e.Registry()
 	for _, x := range r.Known {
 		c.Start(now, x)
 		c.Finish(now, x, selector.Unreachable)
--- a/internal/selector/departure.go
+++ b/internal/selector/departure.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/discoverer"
 )
 
 const (
@@ -19,7 +19,7 @@
 
 // departure is a process that was removed from the registry.
 type departure struct {
-	target *enroller.Target
+	target *discoverer.Target
 	at     time.Time
 }
 
@@ -28,25 +28,25 @@
 //
 // Some targets never announce that they are leaving. Their chats move to other targets at once, all of which
 // would compute the whole prompts again while the target that has them cached is still running.
-type departures map[enroller.Key]departure
+type departures map[discoverer.Key]departure
 
 // add records a process that was removed from the registry, with the time of its last load report. A process
 // whose target is listed with another start has ended and is not recorded.
-func (l departures) add(now time.Time, r *enroller.Roster, t *enroller.Target, heard time.Time) {
+func (l departures) add(now time.Time, r *discoverer.Registry, t *discoverer.Target, heard time.Time) {
 	if r.Known[t.ID] == nil && now.Sub(heard) < maxReportAge {
 		l[t.Key()] = departure{target: t, at: now}
 	}
 }
 
 // source returns the target of a recently removed process; the second result is false if it is none.
-func (l departures) source(now time.Time, k enroller.Key) (*enroller.Target, bool) {
+func (l departures) source(now time.Time, k discoverer.Key) (*discoverer.Target, bool) {
 	x, ok := l[k]
 
 	return x.target, ok && now.Sub(x.at) < departedFetchWindow
 }
 
 // expire drops the processes whose targets are listed again or whose departedFetchWindow is over.
-func (l departures) expire(now time.Time, r *enroller.Roster) {
+func (l departures) expire(now time.Time, r *discoverer.Registry) {
 	for k, x := range l {
 		if r.Known[x.target.ID] != nil || now.Sub(x.at) >= departedFetchWindow {
 			delete(l, k)
--- a/internal/selector/departure_test.go
+++ b/internal/selector/departure_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/discoverer"
 	"github.com/auburntray/auburntray/internal/selector"
 )
 
@@ -22,7 +22,7 @@
 		// time from there to a call with its prompt.
 		removed, requested time.Duration
 		// change is a further change of the registry.
-		change func(e *enroller.Enroller)
+		change func(e *discoverer.Discoverer)
 		// failed makes the target unreachable before its removal.
 		failed bool
 		want   bool
@@ -32,18 +32,20 @@
 		"long ago":              {removed: 100 * time.Millisecond, requested: 4 * time.Second},
 		"no recent load report": {removed: 3 * time.Second},
 		"was unreachable":       {removed: 100 * time.Millisecond, failed: true},
-		"listed, restarted":     {removed: 100 * time.Millisecond, change: func(e *enroller.Enroller) { e.Set(enroller.Target{ID: "old", Group: "other", Start: time.Unix(9, 0)}) }},
+		"listed, restarted": {removed: 100 * time.Millisecond, change: func(e *discoverer.Discoverer) {
+			e.Set(discoverer.Target{ID: "old", Group: "other", Start: time.Unix(9, 0)})
+		}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
-			e := enroller.New(enroller.DefaultSettings())
+			e := discoverer.New(discoverer.DefaultSettings())
 			now := time.Unix(0, 0).Add(reported)
-			e.Set(enroller.Target{ID: "old", Group: group, Slots: 8})
+			e.Set(discoverer.Target{ID: "old", Group: group, Slots: 8})
 
 			c := selector.New(selector.DefaultSettings())
-			c.ApplyRegistry(now, e.Roster())
+			c.ApplyRegistry(now, e.Registry())
 
-			o := choose(c, now, e.Roster(), query(7))
+			o := choose(c, now, e.Registry(), query(7))
 			c.ReportLoad(now, o.Target, selector.LoadReport{Running: 1, Slots: 8})
 
 			if x.failed {
@@ -53,16 +55,16 @@
 			}
 
 			now = now.Add(x.removed)
-			e.Set(enroller.Target{ID: "new", Group: group, Slots: 8})
+			e.Set(discoverer.Target{ID: "new", Group: group, Slots: 8})
 			e.Remove(now, "old")
 
 			if x.change != nil {
 				x.change(e)
 			}
 
-			c.ApplyRegistry(now, e.Roster())
+			c.ApplyRegistry(now, e.Registry())
 
-			o = choose(c, now.Add(x.requested), e.Roster(), query(7))
+			o = choose(c, now.Add(x.requested), e.Registry(), query(7))
 			i.Equal(o.Target.ID, "new")
 			i.Equal(o.Source != nil, x.want)
 		})
--- a/internal/selector/evacuation_replay_test.go
+++ b/internal/selector/evacuation_replay_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/discoverer"
 	"github.com/auburntray/auburntray/internal/selector"
 )
 
@@ -21,19 +21,19 @@
 
 // enginesOf returns a registry of engines in four data centres. Every n-th has just started and is cold for
 // the given time.
-func enginesOf(now time.Time, every int, cold time.Duration) *enroller.Roster {
-	e := enroller.New(enroller.DefaultSettings())
+func enginesOf(now time.Time, every int, cold time.Duration) *discoverer.Registry {
+	e := discoverer.New(discoverer.DefaultSettings())
 
 	for k := range engines {
-		t := enroller.Target{ID: fmt.Sprintf("t%d", k), Group: group, DataCentre: fmt.Sprintf("dc%d", k/15), Slots: 32}
+		t := discoverer.Target{ID: fmt.Sprintf("t%d", k), Group: group, DataCentre: fmt.Sprintf("dc%d", k/15), Slots: 32}
 		if k%every == 0 {
 			t.Cold = cold
 		}
 
-		e.Set(t.Seen(now, nil))
+		e.Set(t.WithReadTime(now, nil))
 	}
 
-	return e.Roster()
+	return e.Registry()
 }
 
 // Guards against overload and lost prompts when a data centre is evacuated at twice the usual load: its calls
@@ -56,7 +56,7 @@
 	running := make(map[string]int)
 
 	type call struct {
-		target *enroller.Target
+		target *discoverer.Target
 		ends   time.Time
 	}
 
@@ -69,7 +69,7 @@
 		closed := k >= 3*usualRate*2
 
 		if closed && len(r.Closed) == 0 {
-			r = r.Evacuated(func(centre string) bool { return centre == "dc1" }, nil)
+			r = r.WithEvacuated(func(centre string) bool { return centre == "dc1" }, nil)
 			c.ApplyRegistry(now, r)
 		}
 
--- a/internal/selector/exclusion.go
+++ b/internal/selector/exclusion.go
@@ -4,7 +4,7 @@
 	"maps"
 	"slices"
 
-	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/discoverer"
 )
 
 // Cause is why a target or a data centre is excluded.
@@ -48,7 +48,7 @@
 	// Name is the ID of the target or the name of the data centre.
 	Name string
 	// Process is the target's process; zero for a data centre.
-	Process enroller.Process
+	Process discoverer.Process
 	// Excluded reports whether the target or data centre is excluded from now on; otherwise it is readmitted.
 	Excluded bool
 }
@@ -56,12 +56,12 @@
 // exclusion identifies a process or a data centre that is excluded for a cause.
 type exclusion struct {
 	cause   Cause
-	process enroller.Key
+	process discoverer.Key
 	centre  string
 }
 
 // exclusionOf returns the exclusion of a target, or of its data centre if the cause applies to that.
-func exclusionOf(c Cause, t *enroller.Target) exclusion {
+func exclusionOf(c Cause, t *discoverer.Target) exclusion {
 	if c == CentreUnreachable {
 		return exclusion{cause: c, centre: t.DataCentre}
 	}
@@ -71,7 +71,7 @@
 
 // setExcluded records whether a target, or its data centre, is excluded for a cause. It does nothing if that
 // is unchanged.
-func (h *health) setExcluded(s Source, c Cause, t *enroller.Target, excluded bool) {
+func (h *health) setExcluded(s Source, c Cause, t *discoverer.Target, excluded bool) {
 	k := exclusionOf(c, t)
 	if h.excluded[k] == excluded {
 		return
@@ -85,14 +85,14 @@
 
 	b := HealthChange{Cause: c, Source: s, Name: t.ID, Process: t.Process(), Excluded: excluded}
 	if c == CentreUnreachable {
-		b.Name, b.Process = t.DataCentre, enroller.Process{}
+		b.Name, b.Process = t.DataCentre, discoverer.Process{}
 	}
 
 	h.changes = append(h.changes, b)
 }
 
 // isExcluded reports whether a target or its data centre is excluded.
-func (h *health) isExcluded(t *enroller.Target) bool {
+func (h *health) isExcluded(t *discoverer.Target) bool {
 	if h.excluded[exclusionOf(CentreUnreachable, t)] {
 		return true
 	}
@@ -102,13 +102,13 @@
 
 // cutOff returns a target in each unreachable data centre if fewer than half of the data centres with targets
 // are reachable, and none otherwise.
-func (h *health) cutOff(r *enroller.Roster) []*enroller.Target {
+func (h *health) cutOff(r *discoverer.Registry) []*discoverer.Target {
 	if len(h.excluded) == 0 {
 		return nil
 	}
 
 	all := make(map[string]bool)
-	unreachable := make(map[string]*enroller.Target)
+	unreachable := make(map[string]*discoverer.Target)
 
 	for _, t := range r.Known {
 		all[t.DataCentre] = true
--- a/internal/selector/health.go
+++ b/internal/selector/health.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
+	"github.com/auburntray/auburntray/internal/discoverer"
 	"github.com/auburntray/auburntray/internal/ejector"
-	"github.com/auburntray/auburntray/internal/enroller"
 	"github.com/auburntray/auburntray/internal/evaluator"
 )
 
@@ -26,15 +26,15 @@
 // health derives the health status of targets from their answers. It is not safe for concurrent use.
 type health struct {
 	// targets and centres track what is unreachable.
-	targets *ejector.Ejector[enroller.Key]
+	targets *ejector.Ejector[discoverer.Key]
 	centres *ejector.Ejector[uint32]
 	// failing tracks targets that are reachable and fail.
-	failing *ejector.Ejector[enroller.Key]
+	failing *ejector.Ejector[discoverer.Key]
 	// gone tracks targets whose address belongs to another process.
-	gone  *ejector.Ejector[enroller.Key]
-	paces *evaluator.Evaluator[enroller.Key]
+	gone  *ejector.Ejector[discoverer.Key]
+	paces *evaluator.Evaluator[discoverer.Key]
 	// reportedAt is when a target was last reported as unhealthy by its home instance.
-	reportedAt map[enroller.Key]time.Time
+	reportedAt map[discoverer.Key]time.Time
 	// lastResorts is when a call was last spent on a group without reachable targets.
 	lastResorts map[string]time.Time
 	// excluded holds the current exclusions, and changes those that have not been returned yet.
@@ -46,16 +46,16 @@
 	return &health{
 		// A single failed connection is sufficient, since other targets are a millisecond away. A retry costs
 		// a few milliseconds, so the exclusions are short.
-		targets: ejector.New[enroller.Key](ejector.Settings{Failures: 1, Base: 500 * time.Millisecond, Max: 4 * time.Second, PanicThreshold: 1}),
+		targets: ejector.New[discoverer.Key](ejector.Settings{Failures: 1, Base: 500 * time.Millisecond, Max: 4 * time.Second, PanicThreshold: 1}),
 		// In a data centre that is cut off, each target would cost a call a dial time-out. Two consecutive
 		// failures exclude the whole data centre.
 		centres: ejector.New[uint32](ejector.Settings{Failures: 2, Base: 500 * time.Millisecond, Max: 2 * time.Second, PanicThreshold: 1}),
-		failing: ejector.New[enroller.Key](ejector.Settings{Failures: 3, Base: time.Second, Max: maxFailingExclusion, PanicThreshold: 0.5}),
+		failing: ejector.New[discoverer.Key](ejector.Settings{Failures: 3, Base: time.Second, Max: maxFailingExclusion, PanicThreshold: 0.5}),
 		// A replaced process does not return, and its entry lapses seconds later. It is retried in case the
 		// answer was wrong.
-		gone:        ejector.New[enroller.Key](ejector.Settings{Failures: 1, Base: goneExclusion, Max: goneExclusion, PanicThreshold: 1}),
-		paces:       evaluator.New[enroller.Key](),
-		reportedAt:  make(map[enroller.Key]time.Time),
+		gone:        ejector.New[discoverer.Key](ejector.Settings{Failures: 1, Base: goneExclusion, Max: goneExclusion, PanicThreshold: 1}),
+		paces:       evaluator.New[discoverer.Key](),
+		reportedAt:  make(map[discoverer.Key]time.Time),
 		lastResorts: make(map[string]time.Time),
 		excluded:    make(map[exclusion]bool),
 	}
@@ -88,14 +88,14 @@
 }
 
 // reportedUnhealthy reports whether the home instance recently reported a target as unhealthy.
-func (h *health) reportedUnhealthy(now time.Time, t *enroller.Target) bool {
+func (h *health) reportedUnhealthy(now time.Time, t *discoverer.Target) bool {
 	s, ok := h.reportedAt[t.Key()]
 
 	return ok && now.Sub(s) < reportedExclusion
 }
 
 // reportUnhealthy records that the home instance considers a target unhealthy.
-func (h *health) reportUnhealthy(now time.Time, t *enroller.Target) {
+func (h *health) reportUnhealthy(now time.Time, t *discoverer.Target) {
 	h.reportedAt[t.Key()] = now
 }
 
@@ -104,8 +104,8 @@
 	return h.failing.PanicMode(now, keys(l))
 }
 
-func keys(l []candidate) []enroller.Key {
-	o := make([]enroller.Key, len(l))
+func keys(l []candidate) []discoverer.Key {
+	o := make([]discoverer.Key, len(l))
 	for i, x := range l {
 		o[i] = x.target.Key()
 	}
@@ -115,7 +115,7 @@
 
 // slow reports whether a target's answers begin much later than usual and it recently had a probe call. It
 // also records the change of health status.
-func (h *health) slow(now time.Time, t *enroller.Target, usual float64) bool {
+func (h *health) slow(now time.Time, t *discoverer.Target, usual float64) bool {
 	n := t.Key()
 	if h.paces.Latency(n) == 0 {
 		return false
@@ -129,7 +129,7 @@
 
 // observePace records how long an answer took to begin, as a fraction of the time within which it is fully
 // useful.
-func (h *health) observePace(now time.Time, t *enroller.Target, fraction float64) {
+func (h *health) observePace(now time.Time, t *discoverer.Target, fraction float64) {
 	n := t.Key()
 	h.paces.RecordAnswer(n, fraction)
 
@@ -157,14 +157,14 @@
 }
 
 // healthy reports whether a target is reachable and does not fail.
-func (h *health) healthy(now time.Time, t *enroller.Target) bool {
+func (h *health) healthy(now time.Time, t *discoverer.Target) bool {
 	n := t.Key()
 
 	return h.isReachable(now, t) && !h.failing.Excluded(now, n) && !h.gone.Excluded(now, n)
 }
 
 // failureSigns counts the signs that a target itself accepts no calls.
-func (h *health) failureSigns(now time.Time, t *enroller.Target) int {
+func (h *health) failureSigns(now time.Time, t *discoverer.Target) int {
 	o := 0
 
 	for _, excluded := range []bool{h.targets.Excluded(now, t.Key()), h.gone.Excluded(now, t.Key()), h.failing.Excluded(now, t.Key())} {
@@ -176,18 +176,18 @@
 	return o
 }
 
-func (h *health) isReachable(now time.Time, t *enroller.Target) bool {
+func (h *health) isReachable(now time.Time, t *discoverer.Target) bool {
 	return !h.targets.Excluded(now, t.Key()) && !h.centres.Excluded(now, t.Centre())
 }
 
-func (h *health) start(now time.Time, t *enroller.Target) {
+func (h *health) start(now time.Time, t *discoverer.Target) {
 	h.targets.StartProbe(now, t.Key())
 	h.centres.StartProbe(now, t.Centre())
 	h.failing.StartProbe(now, t.Key())
 	h.paces.RecordCall(now, t.Key())
 }
 
-func (h *health) finish(now time.Time, t *enroller.Target, o Outcome) {
+func (h *health) finish(now time.Time, t *discoverer.Target, o Outcome) {
 	n, c := t.Key(), t.Centre()
 
 	switch o {
@@ -228,7 +228,7 @@
 }
 
 // reportGone records another instance's notification that a target's address belongs to another process.
-func (h *health) reportGone(now time.Time, t *enroller.Target) {
+func (h *health) reportGone(now time.Time, t *discoverer.Target) {
 	if h.gone.Excluded(now, t.Key()) {
 		return
 	}
@@ -238,7 +238,7 @@
 }
 
 // forget drops the health status of a process.
-func (h *health) forget(k enroller.Key) {
+func (h *health) forget(k discoverer.Key) {
 	for _, c := range targetCauses {
 		delete(h.excluded, exclusion{cause: c, process: k})
 	}
--- a/internal/selector/order_test.go
+++ b/internal/selector/order_test.go
@@ -9,17 +9,17 @@
 
 	"github.com/matryer/is"
 
-	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/discoverer"
 	"github.com/auburntray/auburntray/internal/hasher"
 	"github.com/auburntray/auburntray/internal/selector"
 )
 
 // ordered returns the targets of the group in the rendezvous order of a key.
-func ordered(r *enroller.Roster, key uint64) []*enroller.Target {
+func ordered(r *discoverer.Registry, key uint64) []*discoverer.Target {
 	l := r.Groups[group]
 	n := hasher.Rank(key, len(l), func(i int) uint64 { return uint64(hasher.Name(l[i].ID)) }, func(int) float64 { return 1 })
 
-	o := make([]*enroller.Target, len(l))
+	o := make([]*discoverer.Target, len(l))
 	for i, k := range n {
 		o[i] = l[k]
 	}
@@ -29,10 +29,10 @@
 
 // expected returns the target that the rule selects: the first holder in the order within the bound, else the
 // first target within the bound, else the least loaded.
-func expected(l []*enroller.Target, loads map[string]int, holders []string, bound float64) string {
-	fits := func(t *enroller.Target) bool { return float64(loads[t.ID]+1) <= bound }
+func expected(l []*discoverer.Target, loads map[string]int, holders []string, bound float64) string {
+	fits := func(t *discoverer.Target) bool { return float64(loads[t.ID]+1) <= bound }
 
-	if i := slices.IndexFunc(l, func(t *enroller.Target) bool { return fits(t) && slices.Contains(holders, t.ID) }); i >= 0 {
+	if i := slices.IndexFunc(l, func(t *discoverer.Target) bool { return fits(t) && slices.Contains(holders, t.ID) }); i >= 0 {
 		return l[i].ID
 	}
 
@@ -40,7 +40,7 @@
 		return l[i].ID
 	}
 
-	return slices.MinFunc(l, func(a, b *enroller.Target) int { return loads[a.ID] - loads[b.ID] }).ID
+	return slices.MinFunc(l, func(a, b *discoverer.Target) int { return loads[a.ID] - loads[b.ID] }).ID
 }
 
 // Guards against instances that order targets or break ties differently: they would spread the calls that
--- a/internal/selector/placement.go
+++ b/internal/selector/placement.go
@@ -6,7 +6,7 @@
 
 	lru "github.com/hashicorp/golang-lru/v2"
 
-	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/discoverer"
 )
 
 const (
@@ -27,11 +27,11 @@
 type Placement struct {
 	Key uint64
 	// Target is the short name of the process.
-	Target enroller.Name
+	Target discoverer.Name
 }
 
 type holder struct {
-	target     enroller.Key
+	target     discoverer.Key
 	usedAt     time.Time
 	notifiedAt time.Time
 }
@@ -53,10 +53,10 @@
 }
 
 // holders returns the targets that have a prefix cached, the most recently used first.
-func (p *placements) holders(now time.Time, key uint64) []enroller.Key {
+func (p *placements) holders(now time.Time, key uint64) []discoverer.Key {
 	l, _ := p.prefixes.Get(key)
 
-	o := make([]enroller.Key, 0, len(l))
+	o := make([]discoverer.Key, 0, len(l))
 	for _, h := range l {
 		if now.Sub(h.usedAt) < holderTTL {
 			o = append(o, h.target)
@@ -68,7 +68,7 @@
 
 // recordUse records that this instance sends a call with a prefix to a target. It reports whether the target
 // was not known to have the prefix cached.
-func (p *placements) recordUse(now time.Time, key uint64, target enroller.Key) (fresh bool) {
+func (p *placements) recordUse(now time.Time, key uint64, target discoverer.Key) (fresh bool) {
 	_, known := p.touch(now, key, target)
 
 	return !known
@@ -76,7 +76,7 @@
 
 // notify queues a notification that a target has a prefix cached, unless other instances were notified within
 // renotifyInterval.
-func (p *placements) notify(now time.Time, key uint64, target enroller.Key) {
+func (p *placements) notify(now time.Time, key uint64, target discoverer.Key) {
 	h, _ := p.touch(now, key, target)
 
 	if now.Sub(h.notifiedAt) >= renotifyInterval {
@@ -86,20 +86,20 @@
 }
 
 // remove drops a placement recorded for a call whose target has not processed the prompt.
-func (p *placements) remove(key uint64, target enroller.Key) {
+func (p *placements) remove(key uint64, target discoverer.Key) {
 	l, _ := p.prefixes.Get(key)
 	p.prefixes.Add(key, slices.DeleteFunc(l, func(x holder) bool { return x.target == target }))
 }
 
 // recordPeer records a placement of which another instance notified this one.
-func (p *placements) recordPeer(now time.Time, key uint64, target enroller.Key) {
+func (p *placements) recordPeer(now time.Time, key uint64, target discoverer.Key) {
 	h, _ := p.touch(now, key, target)
 	h.notifiedAt = now
 }
 
 // touch moves a holder to the front and returns it. It reports whether the target was known to have the prefix
 // cached.
-func (p *placements) touch(now time.Time, key uint64, target enroller.Key) (x *holder, known bool) {
+func (p *placements) touch(now time.Time, key uint64, target discoverer.Key) (x *holder, known bool) {
 	l, _ := p.prefixes.Get(key)
 	h := holder{target: target}
 
