--- a/internal/selector/process_test.go
+++ b/internal/selector/process_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/discoverer"
 	"github.com/auburntray/auburntray/internal/selector"
 )
 
@@ -16,16 +16,16 @@
 var startedAt = time.UnixMilli(1_700_000_000_000)
 
 // entry returns a target's registry entry. start is the offset of its start from startedAt.
-func entry(id string, start time.Duration) enroller.Target {
-	return enroller.Target{
+func entry(id string, start time.Duration) discoverer.Target {
+	return discoverer.Target{
 		ID: id, Group: group, DataCentre: "a", Slots: 64, Start: startedAt.Add(start),
 		Address: netip.MustParseAddrPort("10.0.0.1:80"),
 	}
 }
 
 // fourTargets returns a registry with four targets.
-func fourTargets() *enroller.Enroller {
-	e := enroller.New(enroller.DefaultSettings())
+func fourTargets() *discoverer.Discoverer {
+	e := discoverer.New(discoverer.DefaultSettings())
 	for i := range 4 {
 		e.Set(entry(fmt.Sprintf("t%d", i), 0))
 	}
@@ -35,7 +35,7 @@
 
 // difference returns the first observable difference between the state of two selectors, and an empty string if
 // there is none.
-func difference(now time.Time, c *selector.Selector, r *enroller.Roster, d *selector.Selector, s *enroller.Roster) string {
+func difference(now time.Time, c *selector.Selector, r *discoverer.Registry, d *selector.Selector, s *discoverer.Registry) string {
 	x, y := choices(c, now, r), choices(d, now, s)
 
 	for i := range min(len(x), len(y)) {
@@ -55,7 +55,7 @@
 func newSelector() *selector.Selector { return selector.New(selector.DefaultSettings()) }
 
 // choices returns everything about the state of a selector that affects calls.
-func choices(c *selector.Selector, now time.Time, r *enroller.Roster) []string {
+func choices(c *selector.Selector, now time.Time, r *discoverer.Registry) []string {
 	var o []string
 
 	for _, v := range c.Views(now, r) {
@@ -80,9 +80,9 @@
 
 // observations are ways in which a selector acquires state about a target, by a call of its own or by a
 // notification from another instance.
-func observations() map[string]func(c *selector.Selector, now time.Time, r *enroller.Roster, t *enroller.Target) {
-	finish := func(o selector.Outcome, times int) func(*selector.Selector, time.Time, *enroller.Roster, *enroller.Target) {
-		return func(c *selector.Selector, now time.Time, _ *enroller.Roster, t *enroller.Target) {
+func observations() map[string]func(c *selector.Selector, now time.Time, r *discoverer.Registry, t *discoverer.Target) {
+	finish := func(o selector.Outcome, times int) func(*selector.Selector, time.Time, *discoverer.Registry, *discoverer.Target) {
+		return func(c *selector.Selector, now time.Time, _ *discoverer.Registry, t *discoverer.Target) {
 			for range times {
 				c.Start(now, t)
 				c.Finish(now, t, o)
@@ -90,12 +90,12 @@
 		}
 	}
 
-	return map[string]func(*selector.Selector, time.Time, *enroller.Roster, *enroller.Target){
+	return map[string]func(*selector.Selector, time.Time, *discoverer.Registry, *discoverer.Target){
 		"unreachable": finish(selector.Unreachable, 1),
 		"failing":     finish(selector.Failed, 3),
 		"gone":        finish(selector.Gone, 1),
 		"shed":        finish(selector.Shed, 1),
-		"slow": func(c *selector.Selector, now time.Time, r *enroller.Roster, t *enroller.Target) {
+		"slow": func(c *selector.Selector, now time.Time, r *discoverer.Registry, t *discoverer.Target) {
 			for range 4 {
 				for _, x := range r.Known {
 					if x.ID != t.ID {
@@ -108,35 +108,35 @@
 				c.Finish(now, t, selector.Answered)
 			}
 		},
-		"calls in progress": func(c *selector.Selector, now time.Time, _ *enroller.Roster, t *enroller.Target) {
+		"calls in progress": func(c *selector.Selector, now time.Time, _ *discoverer.Registry, t *discoverer.Target) {
 			for range 20 {
 				c.Start(now, t)
 			}
 		},
-		"own load report": func(c *selector.Selector, now time.Time, _ *enroller.Roster, t *enroller.Target) {
+		"own load report": func(c *selector.Selector, now time.Time, _ *discoverer.Registry, t *discoverer.Target) {
 			c.ReportLoad(now, t, selector.LoadReport{Running: 40, Slots: 64})
 		},
-		"prompts": func(c *selector.Selector, now time.Time, r *enroller.Roster, t *enroller.Target) {
+		"prompts": func(c *selector.Selector, now time.Time, r *discoverer.Registry, t *discoverer.Target) {
 			for n := range uint64(60) {
 				c.Choose(now, r, group, selector.Query{Prefixes: query(n).Prefixes, Excluded: others(r, t)})
 			}
 		},
-		"load report from a peer": func(c *selector.Selector, now time.Time, r *enroller.Roster, t *enroller.Target) {
+		"load report from a peer": func(c *selector.Selector, now time.Time, r *discoverer.Registry, t *discoverer.Target) {
 			c.ApplyUpdate(now, r, selector.Update{Loads: []selector.TargetLoad{{Target: t.Key().Name(), Calls: 40, At: now}}})
 		},
-		"placements from a peer": func(c *selector.Selector, now time.Time, r *enroller.Roster, t *enroller.Target) {
+		"placements from a peer": func(c *selector.Selector, now time.Time, r *discoverer.Registry, t *discoverer.Target) {
 			for n := range uint64(60) {
 				c.ApplyUpdate(now, r, selector.Update{Placements: []selector.Placement{{Key: n, Target: t.Key().Name()}}})
 			}
 		},
-		"gone by report of a peer": func(c *selector.Selector, now time.Time, r *enroller.Roster, t *enroller.Target) {
+		"gone by report of a peer": func(c *selector.Selector, now time.Time, r *discoverer.Registry, t *discoverer.Target) {
 			c.ReportGone(now, r, t.Process())
 		},
 	}
 }
 
 // others returns the IDs of all targets but one.
-func others(r *enroller.Roster, t *enroller.Target) []string {
+func others(r *discoverer.Registry, t *discoverer.Target) []string {
 	var o []string
 
 	for id := range r.Known {
@@ -149,30 +149,30 @@
 }
 
 // restarts are ways in which the registry may show a new process under an ID.
-func restarts() map[string]func(e *enroller.Enroller, now time.Time) {
-	return map[string]func(e *enroller.Enroller, now time.Time){
-		"later": func(e *enroller.Enroller, _ time.Time) { e.Set(entry("t0", time.Minute)) },
-		"after a backward clock step": func(e *enroller.Enroller, _ time.Time) {
+func restarts() map[string]func(e *discoverer.Discoverer, now time.Time) {
+	return map[string]func(e *discoverer.Discoverer, now time.Time){
+		"later": func(e *discoverer.Discoverer, _ time.Time) { e.Set(entry("t0", time.Minute)) },
+		"after a backward clock step": func(e *discoverer.Discoverer, _ time.Time) {
 			e.Set(entry("t0", -time.Minute))
 		},
-		"at another address": func(e *enroller.Enroller, _ time.Time) {
+		"at another address": func(e *discoverer.Discoverer, _ time.Time) {
 			x := entry("t0", time.Minute)
 			x.Address = netip.MustParseAddrPort("10.0.0.9:80")
 			e.Set(x)
 		},
-		"by a full reset": func(e *enroller.Enroller, now time.Time) {
-			e.Reset(now, []enroller.Target{entry("t0", time.Minute), entry("t1", 0), entry("t2", 0), entry("t3", 0)})
+		"by a full reset": func(e *discoverer.Discoverer, now time.Time) {
+			e.Reset(now, []discoverer.Target{entry("t0", time.Minute), entry("t1", 0), entry("t2", 0), entry("t3", 0)})
 		},
-		"within the grace period after an outage": func(e *enroller.Enroller, now time.Time) {
-			e.Regained(now, time.Minute)
+		"within the grace period after an outage": func(e *discoverer.Discoverer, now time.Time) {
+			e.RecordOutage(now, time.Minute)
 			e.Remove(now, "t0")
 			e.Set(entry("t0", time.Minute))
-			e.Settle(now.Add(time.Minute))
+			e.ExpireHeld(now.Add(time.Minute))
 		},
-		"after the grace period": func(e *enroller.Enroller, now time.Time) {
-			e.Regained(now, time.Minute)
+		"after the grace period": func(e *discoverer.Discoverer, now time.Time) {
+			e.RecordOutage(now, time.Minute)
 			e.Remove(now, "t0")
-			e.Settle(now.Add(time.Minute))
+			e.ExpireHeld(now.Add(time.Minute))
 			e.Set(entry("t0", time.Minute))
 		},
 	}
@@ -189,13 +189,13 @@
 				now := time.Unix(1000, 0)
 				e := fourTargets()
 				c := newSelector()
-				old := e.Roster().Known["t0"]
+				old := e.Registry().Known["t0"]
 
-				observe(c, now, e.Roster(), old)
+				observe(c, now, e.Registry(), old)
 
 				restart(e, now)
-				c.ApplyRegistry(now, e.Roster())
-				is.Equal(difference(now, c, e.Roster(), newSelector(), e.Roster()), "")
+				c.ApplyRegistry(now, e.Registry())
+				is.Equal(difference(now, c, e.Registry(), newSelector(), e.Registry()), "")
 			})
 		}
 	}
@@ -215,22 +215,22 @@
 			now := time.Unix(1000, 0)
 			e := fourTargets()
 			c := newSelector()
-			old := e.Roster().Known["t0"]
+			old := e.Registry().Known["t0"]
 
 			for range 5 {
 				c.Start(now, old)
 			}
 
 			e.Set(entry("t0", time.Minute))
-			c.ApplyRegistry(now, e.Roster())
-			observe(c, now, e.Roster(), old)
+			c.ApplyRegistry(now, e.Registry())
+			observe(c, now, e.Registry(), old)
 
 			for range 5 {
-				is.Equal(c.Views(now, e.Roster()), newSelector().Views(now, e.Roster()))
+				is.Equal(c.Views(now, e.Registry()), newSelector().Views(now, e.Registry()))
 				c.Finish(now, old, selector.Failed)
 			}
 
-			is.Equal(difference(now, c, e.Roster(), newSelector(), e.Roster()), "")
+			is.Equal(difference(now, c, e.Registry(), newSelector(), e.Registry()), "")
 			is.Equal(len(c.PendingUpdate().Loads), 0)
 		})
 	}
@@ -248,10 +248,10 @@
 			now := time.Unix(1000, 0)
 			e := fourTargets()
 			c := newSelector()
-			old := e.Roster().Known["t0"]
+			old := e.Registry().Known["t0"]
 
 			e.Set(entry("t0", time.Minute))
-			c.ApplyRegistry(now, e.Roster())
+			c.ApplyRegistry(now, e.Registry())
 
 			for range 3 {
 				c.Start(now, old)
@@ -262,14 +262,14 @@
 
 			is.Equal(len(c.HealthChanges()), 0)
 			is.Equal(len(c.PendingUpdate().Loads), 0)
-			is.Equal(difference(now, c, e.Roster(), newSelector(), e.Roster()), "")
+			is.Equal(difference(now, c, e.Registry(), newSelector(), e.Registry()), "")
 
 			// The state does not return with the process either.
 			e.Set(entry("t0", 0))
-			c.ApplyRegistry(now, e.Roster())
-			is.Equal(c.Views(now, e.Roster()), newSelector().Views(now, e.Roster()))
+			c.ApplyRegistry(now, e.Registry())
+			is.Equal(c.Views(now, e.Registry()), newSelector().Views(now, e.Registry()))
 
-			x, ok := c.Choose(now, e.Roster(), group, query(1000))
+			x, ok := c.Choose(now, e.Registry(), group, query(1000))
 			is.True(ok)
 			is.Equal(x.Usable, 4)
 		})
@@ -280,33 +280,33 @@
 // against state that is dropped then: after each outage all prompts would be computed again.
 func TestSameProcessKeepsState(t *testing.T) {
 	for name, observe := range observations() {
-		for how, change := range map[string]func(e *enroller.Enroller, now time.Time){
-			"a heartbeat": func(e *enroller.Enroller, _ time.Time) { e.Set(entry("t0", 0)) },
-			"a full reset": func(e *enroller.Enroller, now time.Time) {
-				e.Reset(now, []enroller.Target{entry("t0", 0), entry("t1", 0), entry("t2", 0), entry("t3", 0)})
+		for how, change := range map[string]func(e *discoverer.Discoverer, now time.Time){
+			"a heartbeat": func(e *discoverer.Discoverer, _ time.Time) { e.Set(entry("t0", 0)) },
+			"a full reset": func(e *discoverer.Discoverer, now time.Time) {
+				e.Reset(now, []discoverer.Target{entry("t0", 0), entry("t1", 0), entry("t2", 0), entry("t3", 0)})
 			},
-			"readmitted within the grace period": func(e *enroller.Enroller, now time.Time) {
-				e.Regained(now, time.Minute)
+			"readmitted within the grace period": func(e *discoverer.Discoverer, now time.Time) {
+				e.RecordOutage(now, time.Minute)
 				e.Remove(now, "t0")
 				e.Set(entry("t0", 0))
-				e.Settle(now.Add(time.Minute))
+				e.ExpireHeld(now.Add(time.Minute))
 			},
-			"another restarted": func(e *enroller.Enroller, _ time.Time) { e.Set(entry("t1", time.Minute)) },
+			"another restarted": func(e *discoverer.Discoverer, _ time.Time) { e.Set(entry("t1", time.Minute)) },
 		} {
 			t.Run(name+", "+how, func(t *testing.T) {
 				is := is.New(t)
 				now := time.Unix(1000, 0)
 				e := fourTargets()
 				c, d := newSelector(), newSelector()
-				r := e.Roster()
+				r := e.Registry()
 
 				observe(c, now, r, r.Known["t0"])
 				observe(d, now, r, r.Known["t0"])
 
 				change(e, now)
-				c.ApplyRegistry(now, e.Roster())
+				c.ApplyRegistry(now, e.Registry())
 
-				is.Equal(difference(now, c, e.Roster(), d, r), "")
+				is.Equal(difference(now, c, e.Registry(), d, r), "")
 				observe(d, now, r, r.Known["t0"])
 				is.True(difference(now, d, r, newSelector(), r) != "") // The observation has an effect.
 			})
@@ -328,18 +328,18 @@
 			now := time.Unix(1000, 0)
 			e := fourTargets()
 			c := newSelector()
-			old := e.Roster().Known["t0"]
+			old := e.Registry().Known["t0"]
 
 			c.Start(now, old)
-			observe(c, now, e.Roster(), old)
+			observe(c, now, e.Registry(), old)
 
 			x := entry("t0", 0)
 			x.Address = netip.MustParseAddrPort("10.0.0.9:80")
 			e.Set(x)
-			c.ApplyRegistry(now, e.Roster())
+			c.ApplyRegistry(now, e.Registry())
 			c.Finish(now, old, selector.Unreachable) // The outcome refers to the earlier address.
 
-			is.Equal(difference(now, c, e.Roster(), newSelector(), e.Roster()) != "", kept[name])
+			is.Equal(difference(now, c, e.Registry(), newSelector(), e.Registry()) != "", kept[name])
 		})
 	}
 }
@@ -353,25 +353,25 @@
 			now := time.Unix(1000, 0)
 			e := fourTargets()
 			c := newSelector()
-			old := e.Roster().Known["t0"]
+			old := e.Registry().Known["t0"]
 
 			c.Start(now, old)
-			observe(c, now, e.Roster(), old)
+			observe(c, now, e.Registry(), old)
 
-			b := c.Views(now, e.Roster())[0].Load
+			b := c.Views(now, e.Registry())[0].Load
 			x := entry("t0", 0)
 			x.Group = "others"
 			e.Set(x)
-			c.ApplyRegistry(now, e.Roster())
+			c.ApplyRegistry(now, e.Registry())
 
-			v := c.Views(now, e.Roster())[0]
-			is.Equal(v, selector.View{Target: e.Roster().Known["t0"], Load: b})
+			v := c.Views(now, e.Registry())[0]
+			is.Equal(v, selector.View{Target: e.Registry().Known["t0"], Load: b})
 
 			c.Finish(now, old, selector.Failed)
-			is.Equal(c.Views(now, e.Roster())[0].Load, b-1)
+			is.Equal(c.Views(now, e.Registry())[0].Load, b-1)
 
 			// A call without a prompt treats it like a target without state.
-			y, ok := c.Choose(now.Add(time.Second), e.Roster(), "others", selector.Query{})
+			y, ok := c.Choose(now.Add(time.Second), e.Registry(), "others", selector.Query{})
 			is.True(ok)
 			is.Equal(y.Usable, 1)
 		})
@@ -385,25 +385,25 @@
 	now := time.Unix(1000, 0)
 	e := fourTargets()
 	c := newSelector()
-	old := e.Roster().Known["t0"]
+	old := e.Registry().Known["t0"]
 
 	for range 3 {
 		c.Start(now, old)
 	}
 
 	e.Remove(now, "t0")
-	c.ApplyRegistry(now, e.Roster())
+	c.ApplyRegistry(now, e.Registry())
 	c.Finish(now, old, selector.Failed)
 
 	e.Set(entry("t0", 0))
-	c.ApplyRegistry(now, e.Roster())
-	is.Equal(c.Views(now, e.Roster())[0].Load, 2.0)
+	c.ApplyRegistry(now, e.Registry())
+	is.Equal(c.Views(now, e.Registry())[0].Load, 2.0)
 
 	for range 2 {
 		c.Finish(now, old, selector.Answered)
 	}
 
-	is.Equal(c.Views(now, e.Roster())[0].Load, 0.0)
+	is.Equal(c.Views(now, e.Registry())[0].Load, 0.0)
 }
 
 // Two targets share a short name. Guards against state of one that is applied to the other: an update from
@@ -415,7 +415,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			now := time.Unix(1000, 0)
-			e := enroller.New(enroller.DefaultSettings())
+			e := discoverer.New(discoverer.DefaultSettings())
 
 			for _, id := range []string{a, b} {
 				x := entry(id, 0)
@@ -423,7 +423,7 @@
 				e.Set(x)
 			}
 
-			r := e.Roster()
+			r := e.Registry()
 			is.Equal(r.Known[a].Key().Name(), r.Known[b].Key().Name())
 
 			c, f := newSelector(), newSelector()
--- a/internal/selector/selector.go
+++ b/internal/selector/selector.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/discoverer"
 	"github.com/auburntray/auburntray/internal/sharder"
 	"github.com/auburntray/auburntray/internal/suppressor"
 	"github.com/auburntray/auburntray/internal/throttler"
@@ -88,16 +88,16 @@
 }
 
 // allows reports whether the call may be sent to the data centre of a target.
-func (q *Query) allows(t *enroller.Target) bool {
+func (q *Query) allows(t *discoverer.Target) bool {
 	return q.Centres == nil || q.Centres[t.DataCentre]
 }
 
 // Choice is the target selected for a call.
 type Choice struct {
-	Target *enroller.Target
+	Target *discoverer.Target
 	// Source is a target that has the prompt cached if Target has not; nil if Target has it, or if none is
 	// known.
-	Source *enroller.Target
+	Source *discoverer.Target
 	// Load is the estimated number of calls at Target, Bound the number it may have, and Usable the number of
 	// targets there were to select from.
 	Load, Bound float64
@@ -132,16 +132,16 @@
 type Selector struct {
 	settings Settings
 	// states has an entry for each process of which more than a placement is known.
-	states map[enroller.Key]*state
+	states map[discoverer.Key]*state
 	// listed are the processes in the registry at its last change; nil before the first.
-	listed map[enroller.Key]*enroller.Target
+	listed map[discoverer.Key]*discoverer.Target
 	// departed are the processes that were recently removed from the registry.
 	departed   departures
 	loads      []TargetLoad
 	health     *health
 	placements *placements
 	// suppressor tracks the targets that asked this instance for a backoff.
-	suppressor *suppressor.Suppressor[enroller.Key]
+	suppressor *suppressor.Suppressor[discoverer.Key]
 	// throttler bounds the calls to cold targets. fleet returns the state of all instances.
 	throttler *throttler.Throttler
 	fleet     func() throttler.Fleet
@@ -150,7 +150,7 @@
 // New returns a selector without calls. Until Throttle is called, it assumes that this instance is the only
 // one.
 func New(s Settings) *Selector {
-	c := &Selector{settings: s, states: make(map[enroller.Key]*state), departed: make(departures), health: newHealth(), placements: newPlacements(), suppressor: suppressor.New[enroller.Key]()}
+	c := &Selector{settings: s, states: make(map[discoverer.Key]*state), departed: make(departures), health: newHealth(), placements: newPlacements(), suppressor: suppressor.New[discoverer.Key]()}
 	c.Throttle(throttler.DefaultSettings(), func() throttler.Fleet {
 		return throttler.Fleet{Live: []uint64{0}, MaxInstances: 1, Settled: true}
 	})
@@ -165,7 +165,7 @@
 
 // Choose selects a target of a group for a call and counts the call at throttled or recovering targets. It
 // returns false if the group has no target that may be used.
-func (c *Selector) Choose(now time.Time, r *enroller.Roster, group string, q Query) (Choice, bool) {
+func (c *Selector) Choose(now time.Time, r *discoverer.Registry, group string, q Query) (Choice, bool) {
 	g := r.Groups[group]
 	if q.Sharded {
 		g = sharder.Shard(q.Customer, g)
@@ -226,8 +226,8 @@
 // and all callers return at once. The first target in the order served the prompt before; calls beyond its
 // bound are assigned to the next ones, each of which would otherwise compute the prompt again.
 func (c *Selector) fetchSource(
-	now time.Time, r *enroller.Roster, usable []candidate, target enroller.Key, holders []enroller.Key, q *Query,
-) *enroller.Target {
+	now time.Time, r *discoverer.Registry, usable []candidate, target discoverer.Key, holders []discoverer.Key, q *Query,
+) *discoverer.Target {
 	l := q.Prefixes
 	if len(holders) == 0 && l[0].Tokens >= minFetchTokens {
 		if f := firstRanked(usable, l[0].Key); f.Key() != target {
@@ -244,7 +244,7 @@
 
 // knownSource returns a target from which the selected one may fetch the longest prefix of the prompt that is
 // cached anywhere; nil if the selected target has the same prefix cached itself.
-func (c *Selector) knownSource(now time.Time, r *enroller.Roster, target enroller.Key, q *Query) *enroller.Target {
+func (c *Selector) knownSource(now time.Time, r *discoverer.Registry, target discoverer.Key, q *Query) *discoverer.Target {
 	for _, p := range q.Prefixes {
 		if p.Tokens < minFetchTokens {
 			return nil
@@ -273,7 +273,7 @@
 
 // Fullness returns the number of calls per slot at the targets of a group. Above one, calls wait. It is zero
 // if the targets do not report their slots.
-func (c *Selector) Fullness(now time.Time, r *enroller.Roster, group string) float64 {
+func (c *Selector) Fullness(now time.Time, r *discoverer.Registry, group string) float64 {
 	n, s := 0.0, 0
 
 	for _, t := range r.Groups[group] {
@@ -288,7 +288,7 @@
 	return n / float64(s)
 }
 
-func (c *Selector) load(now time.Time, t *enroller.Target) float64 {
+func (c *Selector) load(now time.Time, t *discoverer.Target) float64 {
 	if s, ok := c.states[t.Key()]; ok {
 		return s.load(now)
 	}
@@ -297,7 +297,7 @@
 }
 
 // state returns the load state of a target's process, which is created if necessary.
-func (c *Selector) state(t *enroller.Target) *state {
+func (c *Selector) state(t *discoverer.Target) *state {
 	s, ok := c.states[t.Key()]
 	if !ok {
 		s = &state{target: t, unlisted: c.listed != nil && c.listed[t.Key()] == nil}
--- a/internal/selector/selector_test.go
+++ b/internal/selector/selector_test.go
@@ -9,22 +9,22 @@
 
 	"github.com/matryer/is"
 
-	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/discoverer"
 	"github.com/auburntray/auburntray/internal/selector"
 )
 
 const group = "engines"
 
 // registry returns a registry of n targets spread over the data centres.
-func registry(n int, centres ...string) *enroller.Roster {
-	e := enroller.New(enroller.DefaultSettings())
+func registry(n int, centres ...string) *discoverer.Registry {
+	e := discoverer.New(discoverer.DefaultSettings())
 	for i := range n {
-		e.Set(enroller.Target{
+		e.Set(discoverer.Target{
 			ID: fmt.Sprintf("t%d", i), Group: group, DataCentre: centres[i%len(centres)], Slots: 64,
 		})
 	}
 
-	return e.Roster()
+	return e.Registry()
 }
 
 func query(key uint64) selector.Query {
@@ -32,7 +32,7 @@
 }
 
 // choose selects a target for a call and counts the call there.
-func choose(c *selector.Selector, now time.Time, r *enroller.Roster, q selector.Query) selector.Choice {
+func choose(c *selector.Selector, now time.Time, r *discoverer.Registry, q selector.Query) selector.Choice {
 	x, ok := c.Choose(now, r, group, q)
 	if !ok {
 		panic("no target")
@@ -67,7 +67,7 @@
 	now := time.Unix(0, 0)
 
 	type call struct {
-		target *enroller.Target
+		target *discoverer.Target
 		ends   time.Time
 	}
 
@@ -269,7 +269,7 @@
 
 	is.True(send(300, false) > 20)
 	is.True(send(300, true) < 12)
-	is.Equal(c.HealthChanges(), []selector.HealthChange{{Cause: selector.TargetSlow, Source: selector.Own, Name: "t3", Process: enroller.Process{ID: "t3"}, Excluded: true}})
+	is.Equal(c.HealthChanges(), []selector.HealthChange{{Cause: selector.TargetSlow, Source: selector.Own, Name: "t3", Process: discoverer.Process{ID: "t3"}, Excluded: true}})
 	send(600, false)
 	is.True(send(300, false) > 20)
 }
@@ -278,22 +278,22 @@
 // while they can be fetched from it as it drains.
 func TestPromptIsFetchedFromDrainingTarget(t *testing.T) {
 	is := is.New(t)
-	e := enroller.New(enroller.DefaultSettings())
+	e := discoverer.New(discoverer.DefaultSettings())
 	now := time.Unix(0, 0)
-	e.Set(enroller.Target{ID: "old", Group: group})
+	e.Set(discoverer.Target{ID: "old", Group: group})
 
 	c := selector.New(selector.DefaultSettings())
-	o := choose(c, now, e.Roster(), query(7))
+	o := choose(c, now, e.Registry(), query(7))
 	is.Equal(o.Source, nil)
 
-	e.Set(enroller.Target{ID: "new", Group: group})
-	e.Set(enroller.Target{ID: "old", Group: group, Draining: true})
+	e.Set(discoverer.Target{ID: "new", Group: group})
+	e.Set(discoverer.Target{ID: "old", Group: group, Draining: true})
 
-	o = choose(c, now, e.Roster(), query(7))
+	o = choose(c, now, e.Registry(), query(7))
 	is.Equal(o.Target.ID, "new")
 	is.Equal(o.Source.ID, "old")
 
-	o = choose(c, now, e.Roster(), query(7))
+	o = choose(c, now, e.Registry(), query(7))
 	is.Equal(o.Source, nil) // It has the prompt cached now.
 }
 
@@ -317,7 +317,7 @@
 			q.Excluded = []string{"t0"} // The call is sent to the other target in any case.
 
 			if x.holder != "" {
-				c.ApplyUpdate(now.Add(x.age), r, selector.Update{Placements: []selector.Placement{{Key: 9, Target: enroller.Process{ID: x.holder}.Key().Name()}}})
+				c.ApplyUpdate(now.Add(x.age), r, selector.Update{Placements: []selector.Placement{{Key: 9, Target: discoverer.Process{ID: x.holder}.Key().Name()}}})
 			}
 
 			o, ok := c.Choose(now, r, group, q)
@@ -349,20 +349,20 @@
 func TestPlacementIsNotifiedOnceProcessed(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
-	e := enroller.New(enroller.DefaultSettings())
-	e.Set(enroller.Target{ID: "t", Group: group})
+	e := discoverer.New(discoverer.DefaultSettings())
+	e.Set(discoverer.Target{ID: "t", Group: group})
 
 	c := selector.New(selector.DefaultSettings())
-	x := choose(c, now, e.Roster(), query(1))
+	x := choose(c, now, e.Registry(), query(1))
 	is.Equal(len(c.PendingUpdate().Placements), 0)
 
 	c.ConfirmPlacements(now, x)
 	is.Equal(c.PendingUpdate().Placements, []selector.Placement{{Key: 1, Target: x.Target.Key().Name()}})
 
 	// No notification is sent for a process that is no longer listed.
-	y := choose(c, now.Add(time.Minute), e.Roster(), query(2))
+	y := choose(c, now.Add(time.Minute), e.Registry(), query(2))
 	e.Remove(now.Add(time.Minute), "t")
-	c.ApplyRegistry(now.Add(time.Minute), e.Roster())
+	c.ApplyRegistry(now.Add(time.Minute), e.Registry())
 	c.ConfirmPlacements(now.Add(time.Minute), y)
 	is.Equal(len(c.PendingUpdate().Placements), 0)
 }
@@ -481,9 +481,9 @@
 	c := selector.New(selector.DefaultSettings())
 	o := choose(c, now, r, query(1))
 
-	c.ApplyRegistry(now, &enroller.Roster{}) // A call is still running there.
+	c.ApplyRegistry(now, &discoverer.Registry{}) // A call is still running there.
 	c.Finish(now, o.Target, selector.Answered)
-	c.ApplyRegistry(now, &enroller.Roster{})
+	c.ApplyRegistry(now, &discoverer.Registry{})
 	c.Finish(now, o.Target, selector.Answered) // The count does not become negative.
 	is.Equal(choose(c, now, r, query(1)).Target.ID, o.Target.ID)
 }
@@ -552,10 +552,12 @@
 // A target that failed is half-open, and the caller of its one probe call disconnects. Guards against the
 // target remaining excluded for ten more seconds although the probe call was inconclusive.
 func TestInconclusiveProbeIsRepeated(t *testing.T) {
-	for name, end := range map[string]func(c *selector.Selector, now time.Time, k *enroller.Target){
-		"the caller disconnects": func(c *selector.Selector, now time.Time, k *enroller.Target) { c.Finish(now, k, selector.Inconclusive) },
-		"the answer has begun":   func(c *selector.Selector, now time.Time, k *enroller.Target) { c.ObservePace(now, k, 0.1) },
-		"the answer is complete": func(c *selector.Selector, now time.Time, k *enroller.Target) { c.Finish(now, k, selector.Answered) },
+	for name, end := range map[string]func(c *selector.Selector, now time.Time, k *discoverer.Target){
+		"the caller disconnects": func(c *selector.Selector, now time.Time, k *discoverer.Target) {
+			c.Finish(now, k, selector.Inconclusive)
+		},
+		"the answer has begun":   func(c *selector.Selector, now time.Time, k *discoverer.Target) { c.ObservePace(now, k, 0.1) },
+		"the answer is complete": func(c *selector.Selector, now time.Time, k *discoverer.Target) { c.Finish(now, k, selector.Answered) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
@@ -712,7 +714,7 @@
 // Other targets of its data centre, the healthy ones first, show whether a target crashed or is cut off.
 // Targets of other data centres only count if it has no other target nearby.
 func TestWitnesses(t *testing.T) {
-	ids := func(l []*enroller.Target) []string {
+	ids := func(l []*discoverer.Target) []string {
 		o := []string{}
 		for _, x := range l {
 			o = append(o, x.ID)
@@ -757,17 +759,17 @@
 	c := selector.New(selector.DefaultSettings())
 	now := time.Unix(0, 0)
 
-	for _, p := range []enroller.Process{{ID: "unknown"}, {ID: "t0", Start: startedAt}} {
+	for _, p := range []discoverer.Process{{ID: "unknown"}, {ID: "t0", Start: startedAt}} {
 		c.ReportGone(now, r, p)
 		i.Equal(len(c.HealthChanges()), 0) // It is not listed.
 	}
 
-	c.ReportGone(now, r, enroller.Process{ID: "t0"})
+	c.ReportGone(now, r, discoverer.Process{ID: "t0"})
 	i.Equal(c.HealthChanges(), []selector.HealthChange{
-		{Cause: selector.TargetGone, Source: selector.Peer, Name: "t0", Process: enroller.Process{ID: "t0"}, Excluded: true},
+		{Cause: selector.TargetGone, Source: selector.Peer, Name: "t0", Process: discoverer.Process{ID: "t0"}, Excluded: true},
 	})
 
-	c.ReportGone(now, r, enroller.Process{ID: "t0"})
+	c.ReportGone(now, r, discoverer.Process{ID: "t0"})
 	c.Start(now, r.Known["t0"])
 	c.Finish(now, r.Known["t0"], selector.Gone)
 	i.Equal(len(c.HealthChanges()), 0) // Already known, so an outcome of its own adds nothing.
@@ -785,6 +787,6 @@
 	c.Start(now, r.Known["t0"])
 	c.Finish(now, r.Known["t0"], selector.Answered)
 	i.Equal(c.HealthChanges(), []selector.HealthChange{
-		{Cause: selector.TargetGone, Source: selector.Own, Name: "t0", Process: enroller.Process{ID: "t0"}},
+		{Cause: selector.TargetGone, Source: selector.Own, Name: "t0", Process: discoverer.Process{ID: "t0"}},
 	})
 }
--- a/internal/selector/state.go
+++ b/internal/selector/state.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"github.com/auburntray/auburntray/internal/aggregator"
-	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/discoverer"
 )
 
 // shedAvoidance is how long a target that refused a call is avoided. It is about the time in which a full
@@ -14,7 +14,7 @@
 // state is the load on one process of a target as known to this instance.
 type state struct {
 	// target is the process's entry at the last change of the registry.
-	target *enroller.Target
+	target *discoverer.Target
 	// unlisted reports whether the process was removed from the registry. Only its running calls are still
 	// counted, in case it is listed again.
 	unlisted bool
@@ -46,7 +46,7 @@
 
 // isCurrent reports whether the outcome of a call that was sent using the given entry applies to the process
 // as it is listed now. It does not if the process has moved to another address or group.
-func (s *state) isCurrent(t *enroller.Target) bool {
+func (s *state) isCurrent(t *discoverer.Target) bool {
 	return !s.unlisted && !s.target.Moved(t)
 }
 
@@ -58,7 +58,7 @@
 // TargetLoad is a load report of a target.
 type TargetLoad struct {
 	// Target is the short name of the process.
-	Target enroller.Name
+	Target discoverer.Name
 	// Calls are those of all instances, running and waiting.
 	Calls int
 	// At is the time of the report.
--- a/internal/selector/update.go
+++ b/internal/selector/update.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/discoverer"
 )
 
 // callFinishedAge is the age of a load report from which the call that carried it is assumed to have finished.
@@ -20,7 +20,7 @@
 // ApplyUpdate applies another instance's update for the processes of a registry. Entries for other processes, and
 // for names that two processes share, are ignored: they may refer to an earlier process that the other
 // instance does not know to have ended.
-func (c *Selector) ApplyUpdate(now time.Time, r *enroller.Roster, n Update) {
+func (c *Selector) ApplyUpdate(now time.Time, r *discoverer.Registry, n Update) {
 	for _, p := range n.Placements {
 		if t, ok := r.Names[p.Target]; ok {
 			c.placements.recordPeer(now, p.Key, t.Key())
@@ -36,7 +36,7 @@
 
 // ReportGone applies another instance's notification that a process has been replaced at its address. Another
 // process under the same ID is not affected.
-func (c *Selector) ReportGone(now time.Time, r *enroller.Roster, p enroller.Process) {
+func (c *Selector) ReportGone(now time.Time, r *discoverer.Registry, p discoverer.Process) {
 	if t, ok := r.Processes[p.Key()]; ok && !c.state(t).unlisted {
 		c.health.reportGone(now, t)
 	}
@@ -46,7 +46,7 @@
 // latest load report of each target.
 func (c *Selector) PendingUpdate() Update {
 	n := Update{Placements: c.placements.drain()}
-	k := make(map[enroller.Name]bool, len(c.loads))
+	k := make(map[discoverer.Name]bool, len(c.loads))
 
 	for _, l := range slices.Backward(c.loads) {
 		if !k[l.Target] {
--- a/internal/selector/view.go
+++ b/internal/selector/view.go
@@ -5,7 +5,7 @@
 	"strings"
 	"time"
 
-	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/discoverer"
 )
 
 // HealthChanges returns the changes of health status since the last call and clears them.
@@ -32,7 +32,7 @@
 
 // View is the state of a target as seen by this instance.
 type View struct {
-	Target *enroller.Target
+	Target *discoverer.Target
 	// Load is the estimated number of calls of all instances.
 	Load float64
 	// Excluded reports whether the target or its data centre is excluded.
@@ -40,7 +40,7 @@
 }
 
 // Views returns the targets of a registry in the order of their IDs.
-func (c *Selector) Views(now time.Time, r *enroller.Roster) []View {
+func (c *Selector) Views(now time.Time, r *discoverer.Registry) []View {
 	o := make([]View, 0, len(r.Known))
 
 	for _, t := range r.Known {
@@ -55,7 +55,7 @@
 // CutOff returns a target to probe in each unreachable data centre if this instance reaches fewer than half of
 // the data centres with targets, and none otherwise. At most one side of a network partition has less than
 // half, and with two data centres neither has.
-func (c *Selector) CutOff(r *enroller.Roster) []*enroller.Target {
+func (c *Selector) CutOff(r *discoverer.Registry) []*discoverer.Target {
 	return c.health.cutOff(r)
 }
 
@@ -65,12 +65,12 @@
 // Witnesses returns targets that tell a crash of the given target from a network partition: they should be
 // reachable whenever it is. These are other targets of its data centre, or of any if it is the only one there,
 // those with the fewest signs of failure first.
-func (c *Selector) Witnesses(now time.Time, r *enroller.Roster, t *enroller.Target) []*enroller.Target {
-	var near, far []*enroller.Target
+func (c *Selector) Witnesses(now time.Time, r *discoverer.Registry, t *discoverer.Target) []*discoverer.Target {
+	var near, far []*discoverer.Target
 
 	for _, x := range r.Known {
 		switch {
-		case x.Key() == t.Key() || x.Leaves():
+		case x.Key() == t.Key() || x.IsLeaving():
 		case x.DataCentre == t.DataCentre:
 			near = append(near, x)
 		default:
@@ -82,7 +82,7 @@
 		near = far
 	}
 
-	slices.SortStableFunc(near, func(a, b *enroller.Target) int {
+	slices.SortStableFunc(near, func(a, b *discoverer.Target) int {
 		return c.health.failureSigns(now, a) - c.health.failureSigns(now, b)
 	})
 
--- a/internal/sender/health.go
+++ b/internal/sender/health.go
@@ -10,7 +10,7 @@
 	"github.com/cockroachdb/errors"
 
 	"github.com/auburntray/auburntray/internal/exchanger"
-	"github.com/auburntray/auburntray/internal/keeper"
+	"github.com/auburntray/auburntray/internal/supervisor"
 	"github.com/auburntray/auburntray/internal/suppressor"
 	"github.com/auburntray/auburntray/internal/tracker"
 )
@@ -19,17 +19,17 @@
 
 // Probe asks a target for its health. An answer that says the target is leaving
 // is a success.
-func (s *Sender) Probe(c context.Context, a netip.AddrPort) (keeper.Health, error) {
+func (s *Sender) Probe(c context.Context, a netip.AddrPort) (supervisor.Health, error) {
 	u := s.target(a, healthPath)
 
 	q, err := http.NewRequestWithContext(c, http.MethodGet, u.String(), nil)
 	if err != nil {
-		return keeper.Health{}, errors.Mark(err, ErrNeverSent)
+		return supervisor.Health{}, errors.Mark(err, ErrNeverSent)
 	}
 
 	r, err := do(s.reused, q)
 	if err != nil {
-		return keeper.Health{}, err
+		return supervisor.Health{}, err
 	}
 
 	_, _ = io.Copy(io.Discard, io.LimitReader(r.Body, 1<<10))
@@ -45,8 +45,8 @@
 
 // Report reads what a target says of itself in an answer's header. What is
 // missing or malformed is no report.
-func Report(h http.Header) keeper.Health {
-	o := keeper.Health{Requests: -1}
+func Report(h http.Header) supervisor.Health {
+	o := supervisor.Health{Requests: -1}
 
 	if n, err := strconv.ParseInt(h.Get(exchanger.TargetRequests), 10, 32); err == nil && n >= 0 {
 		o.Requests = int(n)
@@ -56,7 +56,7 @@
 		o.State = tracker.State{Incarnation: n, Leaving: h.Get(exchanger.TargetLeaving) == "true"}
 	}
 
-	o.Rest = suppressor.ParseRetryAfter(h.Get("Retry-After"))
+	o.Backoff = suppressor.ParseRetryAfter(h.Get("Retry-After"))
 
 	return o
 }
--- a/internal/sharder/sharder.go
+++ b/internal/sharder/sharder.go
@@ -14,7 +14,7 @@
 	"slices"
 	"time"
 
-	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/discoverer"
 	"github.com/auburntray/auburntray/internal/hasher"
 )
 
@@ -38,20 +38,20 @@
 // Sharder records the crashes of targets. It is not safe for concurrent use.
 type Sharder struct {
 	// crashes are the times of crashes, by group and process.
-	crashes map[string]map[enroller.Key]time.Time
+	crashes map[string]map[discoverer.Key]time.Time
 }
 
 // New returns a Sharder without crashes.
 func New() *Sharder {
-	return &Sharder{crashes: make(map[string]map[enroller.Key]time.Time)}
+	return &Sharder{crashes: make(map[string]map[discoverer.Key]time.Time)}
 }
 
 // RecordCrash records that the process of a target crashed while running a call. Repeated notifications of the
 // same process have no effect.
-func (s *Sharder) RecordCrash(now time.Time, t *enroller.Target) {
+func (s *Sharder) RecordCrash(now time.Time, t *discoverer.Target) {
 	g, ok := s.crashes[t.Group]
 	if !ok {
-		g = make(map[enroller.Key]time.Time)
+		g = make(map[discoverer.Key]time.Time)
 		s.crashes[t.Group] = g
 	}
 
@@ -103,9 +103,9 @@
 
 // Shard returns a customer's shard of the targets of a group, which is the same at every instance. It
 // changes little when targets are added or removed.
-func Shard(customer uint64, l []*enroller.Target) []*enroller.Target {
+func Shard(customer uint64, l []*discoverer.Target) []*discoverer.Target {
 	o := slices.Clone(l)
-	slices.SortFunc(o, func(a, b *enroller.Target) int {
+	slices.SortFunc(o, func(a, b *discoverer.Target) int {
 		return cmp.Compare(hasher.Score(customer, b.Rank(), 1), hasher.Score(customer, a.Rank(), 1))
 	})
 
--- a/internal/sharder/sharder_test.go
+++ b/internal/sharder/sharder_test.go
@@ -7,17 +7,17 @@
 
 	"github.com/matryer/is"
 
-	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/discoverer"
 	"github.com/auburntray/auburntray/internal/sharder"
 )
 
-func targets(n int) []*enroller.Target {
-	e := enroller.New(enroller.DefaultSettings())
+func targets(n int) []*discoverer.Target {
+	e := discoverer.New(discoverer.DefaultSettings())
 	for i := range n {
-		e.Set(enroller.Target{ID: fmt.Sprintf("t%d", i), Group: "g"})
+		e.Set(discoverer.Target{ID: fmt.Sprintf("t%d", i), Group: "g"})
 	}
 
-	return e.Roster().Groups["g"]
+	return e.Registry().Groups["g"]
 }
 
 // Guards against sharding without need, which moves customers away from their cached prompts: it requires
@@ -65,7 +65,7 @@
 	i := is.New(t)
 	l := targets(18)
 
-	in := func(x *enroller.Target, l []*enroller.Target) bool {
+	in := func(x *discoverer.Target, l []*discoverer.Target) bool {
 		for _, y := range l {
 			if y.ID == x.ID {
 				return true
--- a/internal/keeper/handlers.go
+++ b/internal/supervisor/handlers.go
@@ -1,4 +1,4 @@
-package keeper
+package supervisor
 
 import (
 	"context"
@@ -11,29 +11,29 @@
 	"github.com/auburntray/auburntray/internal/wire"
 )
 
-// registry takes handlers of messages.
+// registry registers handlers of messages.
 type registry interface {
 	Handle(k wire.Kind, h messenger.Handler)
 }
 
-// Register makes the Keeper answer peers.
-func (k *Keeper) Register(r registry) {
-	r.Handle(wire.KindAsk, k.onAsk)
+// Register registers the handlers for messages of other routers.
+func (k *Supervisor) Register(r registry) {
+	r.Handle(wire.KindAsk, k.handleReserve)
 	r.Handle(wire.KindRelease, oneWay(func(from uint64, w *wire.Release) { k.Release(time.Now(), from, *w) }))
 	r.Handle(wire.KindReport, oneWay(func(_ uint64, w *wire.Report) { k.Report(time.Now(), *w) }))
-	r.Handle(wire.KindRest, oneWay(func(_ uint64, w *wire.Rest) { k.Rest(time.Now(), *w) }))
+	r.Handle(wire.KindRest, oneWay(func(_ uint64, w *wire.Rest) { k.BackOff(time.Now(), *w) }))
 	r.Handle(wire.KindSync, oneWay(func(from uint64, w *wire.Sync) { k.Sync(time.Now(), from, *w) }))
-	r.Handle(wire.KindCellLoad, oneWay(func(_ uint64, w *wire.CellLoad) { k.Other(time.Now(), *w) }))
+	r.Handle(wire.KindCellLoad, oneWay(func(_ uint64, w *wire.CellLoad) { k.ReportCell(time.Now(), *w) }))
 	r.Handle(wire.KindHandOver, oneWay(func(from uint64, w *wire.HandOver) { k.HandOver(time.Now(), from, *w) }))
 }
 
-func (k *Keeper) onAsk(_ context.Context, from uint64, b []byte) (msgp.Marshaler, error) {
+func (k *Supervisor) handleReserve(_ context.Context, from uint64, b []byte) (msgp.Marshaler, error) {
 	var w wire.Ask
 	if _, err := w.UnmarshalMsg(b); err != nil {
 		return nil, errors.Mark(err, ErrMessage)
 	}
 
-	v, err := k.Ask(time.Now(), from, w)
+	v, err := k.Reserve(time.Now(), from, w)
 	if err != nil {
 		return nil, err
 	}
@@ -41,7 +41,7 @@
 	return &v, nil
 }
 
-// oneWay returns a handler of messages that have no reply.
+// oneWay returns a handler of messages that have no reply. It fails with ErrMessage.
 func oneWay[T any, P interface {
 	*T
 	msgp.Unmarshaler
--- a/internal/keeper/home.go
+++ b/internal/supervisor/home.go
@@ -1,4 +1,4 @@
-package keeper
+package supervisor
 
 import (
 	"math/rand/v2"
@@ -11,21 +11,21 @@
 	"github.com/auburntray/auburntray/internal/parser"
 )
 
-// home is one cell's Granter. Requests for different cells don't wait for each
-// other.
+// home is the state of one cell at its home. Each cell has its own lock, so requests for different
+// cells don't wait for each other.
 type home struct {
-	mu      sync.Mutex
-	granter *granter.Granter
-	used    time.Time
-	// holder is the router that has the places held here: the home that they
-	// were handed over to, or that replicated them. Zero is none. While they are
-	// handed over to a new home, handed is how far.
-	holder uint64
-	handed int
+	mu       sync.Mutex
+	granter  *granter.Granter
+	lastUsed time.Time
+	// holder is the router that has the placements of this cell already: the home that they were
+	// handed over to or that replicated them to this router. Zero means none. nextPosition is the
+	// position of the scan while they are handed over to a new home.
+	holder       uint64
+	nextPosition int
 }
 
-// Update brings a new configuration to all cells.
-func (k *Keeper) Update(f *follower.Config) {
+// Update applies a new configuration to all cells, and drops those that are not in it.
+func (k *Supervisor) Update(f *follower.Config) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 
@@ -43,9 +43,9 @@
 	}
 }
 
-// update brings a configuration to one cell, and what the platform's list said
-// of its targets while they were not in it. The caller holds both locks.
-func (k *Keeper) update(h *home, f *follower.Config, x *matcher.Cell) {
+// update applies a configuration to one cell. It also applies the states from the platform's
+// registry, which may have changed while a target was not in the cell. The caller holds both locks.
+func (k *Supervisor) update(h *home, f *follower.Config, x *matcher.Cell) {
 	h.granter.Update(targets(x), limits(f.Matcher))
 
 	for _, t := range x.Targets {
@@ -53,7 +53,7 @@
 	}
 }
 
-func (k *Keeper) snapshot() map[uint32]*home {
+func (k *Supervisor) snapshot() map[uint32]*home {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 
@@ -65,9 +65,9 @@
 	return o
 }
 
-// at calls f with a cell under its lock. What comes for a cell that is not in the
-// configuration in force here is dropped: its sender follows another revision.
-func (k *Keeper) at(now time.Time, cell uint32, f func(h *home)) {
+// withCell calls f with a cell under its lock. Messages for a cell that is not in the configuration in
+// force are dropped, since their sender uses another revision.
+func (k *Supervisor) withCell(now time.Time, cell uint32, f func(h *home)) {
 	h, err := k.home(now, k.force(), cell)
 	if err != nil {
 		return
@@ -79,8 +79,8 @@
 	f(h)
 }
 
-// home returns the Granter of a cell, making it when a first ask comes.
-func (k *Keeper) home(now time.Time, f *follower.Config, cell uint32) (*home, error) {
+// home returns the state of a cell, which it creates on first use. It fails with ErrUnknownCell.
+func (k *Supervisor) home(now time.Time, f *follower.Config, cell uint32) (*home, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 
@@ -94,7 +94,7 @@
 	}
 
 	r := rand.New(rand.NewPCG(rand.Uint64(), uint64(cell))) //nolint:gosec // Jitter.
-	h := &home{granter: granter.New(k.settings, r), used: now}
+	h := &home{granter: granter.New(k.settings, r), lastUsed: now}
 	k.update(h, f, x)
 	k.homes[cell] = h
 
--- a/internal/keeper/places.go
+++ b/internal/supervisor/placement.go
@@ -1,4 +1,4 @@
-package keeper
+package supervisor
 
 import (
 	"math"
@@ -6,8 +6,8 @@
 	"github.com/auburntray/auburntray/internal/wire"
 )
 
-// Places returns how many chats all cells remember.
-func (k *Keeper) Places() int {
+// PlacementCount returns the number of placements in all cells.
+func (k *Supervisor) PlacementCount() int {
 	n := 0
 
 	for _, h := range k.snapshot() {
@@ -19,13 +19,13 @@
 	return n
 }
 
-// Each calls f with each cell's identifier and remembered places.
-func (k *Keeper) Each(f func(cell uint32, l []wire.Place)) {
+// EachCell calls f with the identifier and the placements of each cell.
+func (k *Supervisor) EachCell(f func(cell uint32, l []wire.Place)) {
 	for id, h := range k.snapshot() {
 		h.mu.Lock()
 		l, _ := h.granter.Placements().Scan(0, math.MaxInt)
 		h.mu.Unlock()
 
-		f(id, places(l))
+		f(id, wirePlacements(l))
 	}
 }
--- /dev/null
+++ b/internal/supervisor/probe.go
@@ -0,0 +1,80 @@
+package supervisor
+
+import (
+	"context"
+	"net/netip"
+	"time"
+
+	"github.com/auburntray/auburntray/internal/detector"
+	"github.com/auburntray/auburntray/internal/matcher"
+	"github.com/auburntray/auburntray/internal/tracker"
+)
+
+const (
+	// probeAfter is the time without a report after which a target is probed. Answers carry the
+	// same report, so busy targets are not probed. A target's notification that it is leaving
+	// takes effect after at most this time, one sweep interval and one probe.
+	probeAfter   = time.Second
+	probeTimeout = 500 * time.Millisecond
+)
+
+// Health is a target's response to a probe.
+type Health struct {
+	// Requests is the number of requests at the target; negative when it reports none.
+	Requests int
+	State    tracker.State
+	// Backoff is the backoff that the target asks for; zero means none.
+	Backoff time.Duration
+}
+
+// prober requests the health of a target.
+type prober interface {
+	Probe(c context.Context, a netip.AddrPort) (Health, error)
+}
+
+// stallMonitor reports whether this process was stalled at some point since a time.
+type stallMonitor interface {
+	Stalled(since time.Time) bool
+}
+
+// probe probes the cell's targets without recent reports, each in the background.
+func (k *Supervisor) probe(c context.Context, now time.Time, m *matcher.Matcher, h *home) {
+	h.mu.Lock()
+	l := h.granter.Unreported(now, now.Add(-probeAfter))
+	h.mu.Unlock()
+
+	for _, id := range l {
+		if t := m.Target(id); t != nil {
+			go k.probeOne(c, h, t)
+		}
+	}
+}
+
+func (k *Supervisor) probeOne(c context.Context, h *home, t *matcher.Target) {
+	x, stop := context.WithTimeout(c, probeTimeout)
+	defer stop()
+
+	b := time.Now()
+
+	r, err := k.prober.Probe(x, t.Address)
+	if c.Err() != nil {
+		return
+	}
+
+	// A probe that timed out while this process was stalled is no evidence against the target,
+	// which may have answered. Three such stalls would exclude healthy targets, so the result is
+	// left to the next probe.
+	if detector.TimedOut(err) && k.stallMonitor.Stalled(b) {
+		return
+	}
+
+	h.mu.Lock()
+	defer h.mu.Unlock()
+
+	n := time.Now()
+	h.granter.RecordProbe(n, t.ID, err == nil)
+
+	if err == nil {
+		h.granter.Report(n, t.ID, r.Requests, r.State)
+	}
+}
--- a/internal/keeper/answer.go
+++ b/internal/supervisor/request.go
@@ -1,4 +1,4 @@
-package keeper
+package supervisor
 
 import (
 	"time"
@@ -12,8 +12,8 @@
 	"github.com/auburntray/auburntray/internal/wire"
 )
 
-// Ask decides on an entry's request for a place. It fails with ErrUnknownCell.
-func (k *Keeper) Ask(now time.Time, entry uint64, w wire.Ask) (wire.Verdict, error) {
+// Reserve decides on the request of an entry router to reserve a slot. It fails with ErrUnknownCell.
+func (k *Supervisor) Reserve(now time.Time, entry uint64, w wire.Ask) (wire.Verdict, error) {
 	f := k.force()
 
 	h, err := k.home(now, f, w.Cell)
@@ -29,7 +29,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 
-	h.used = now
+	h.lastUsed = now
 	v := h.granter.Reserve(now, granter.Request{
 		ID:        granter.ID{Entry: entry, Seq: w.Seq},
 		Chat:      w.Chat,
@@ -49,31 +49,31 @@
 	}, nil
 }
 
-// Release ends a grant.
-func (k *Keeper) Release(now time.Time, entry uint64, w wire.Release) {
-	k.at(now, w.Cell, func(h *home) {
+// Release releases the slot of a grant and records the outcome of the call.
+func (k *Supervisor) Release(now time.Time, entry uint64, w wire.Release) {
+	k.withCell(now, w.Cell, func(h *home) {
 		h.granter.Release(now, granter.ID{Entry: entry, Seq: w.Seq}, granter.Outcome{
 			OK: w.OK, NeverSent: w.NeverSent,
 		})
 	})
 }
 
-// Report takes what an entry heard of a target.
-func (k *Keeper) Report(now time.Time, w wire.Report) {
-	k.at(now, w.Cell, func(h *home) {
+// Report applies a target's load and state as reported by an entry router.
+func (k *Supervisor) Report(now time.Time, w wire.Report) {
+	k.withCell(now, w.Cell, func(h *home) {
 		h.granter.Report(now, w.Target, int(w.Requests), tracker.State{Incarnation: w.Incarnation, Leaving: w.Leaving})
 	})
 }
 
-// Rest takes that a target has asked an entry for rest.
-func (k *Keeper) Rest(now time.Time, w wire.Rest) {
-	k.at(now, w.Cell, func(h *home) {
+// BackOff starts the backoff of a target that has asked an entry router for one.
+func (k *Supervisor) BackOff(now time.Time, w wire.Rest) {
+	k.withCell(now, w.Cell, func(h *home) {
 		h.granter.BackOff(now, w.Target, time.Duration(w.ForMs)*time.Millisecond)
 	})
 }
 
-// Sync takes an entry's list of its grants in a cell.
-func (k *Keeper) Sync(now time.Time, entry uint64, w wire.Sync) {
+// Sync reconciles the grants in a cell with an entry router's list of its own.
+func (k *Supervisor) Sync(now time.Time, entry uint64, w wire.Sync) {
 	l := make([]granter.Grant, len(w.Grants))
 	for i, g := range w.Grants {
 		l[i] = granter.Grant{
@@ -81,18 +81,18 @@
 		}
 	}
 
-	k.at(now, w.Cell, func(h *home) {
+	k.withCell(now, w.Cell, func(h *home) {
 		h.granter.Sync(now, entry, w.UpTo, l)
 	})
 }
 
-// Seen takes what the platform's list says of a target.
-func (k *Keeper) Seen(i recorder.Instance) {
+// ObserveInstance applies a target's state from the platform's registry.
+func (k *Supervisor) ObserveInstance(i recorder.Instance) {
 	k.Observe(hasher.Name(i.Name), tracker.State{Incarnation: i.Incarnation, Leaving: i.Leaving || i.Gone})
 }
 
-// Observe takes a target's state from a source other than an answer.
-func (k *Keeper) Observe(target uint32, s tracker.State) {
+// Observe applies a target's state from a source other than an answer to all cells.
+func (k *Supervisor) Observe(target uint32, s tracker.State) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 
@@ -105,17 +105,17 @@
 	}
 }
 
-// Other takes the load of another cell of a pool.
-func (k *Keeper) Other(now time.Time, w wire.CellLoad) {
-	k.at(now, w.To, func(h *home) {
-		h.granter.ReportCell(now, w.From, float64(w.Milli)/milli, float64(w.Weight))
+// ReportCell applies the load report of another cell of the pool.
+func (k *Supervisor) ReportCell(now time.Time, w wire.CellLoad) {
+	k.withCell(now, w.To, func(h *home) {
+		h.granter.ReportCell(now, w.From, float64(w.Milli)/unitsPerRequest, float64(w.Weight))
 	})
 }
 
-// HandOver takes places of a cell from its former home, or from its home for the
-// case that it is lost.
-func (k *Keeper) HandOver(now time.Time, from uint64, w wire.HandOver) {
-	k.at(now, w.Cell, func(h *home) {
+// HandOver records placements of a cell that its former home hands over, or that its home
+// replicates for the case that it fails.
+func (k *Supervisor) HandOver(now time.Time, from uint64, w wire.HandOver) {
+	k.withCell(now, w.Cell, func(h *home) {
 		h.holder = from
 
 		for _, p := range w.Places {
--- /dev/null
+++ b/internal/supervisor/supervisor.go
@@ -0,0 +1,108 @@
+// Package supervisor runs the Granters of the cells that this router is the home of, that is, the one
+// router responsible for reserving slots at a cell's targets (home node).
+package supervisor
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"github.com/auburntray/auburntray/internal/follower"
+	"github.com/auburntray/auburntray/internal/granter"
+	"github.com/auburntray/auburntray/internal/matcher"
+	"github.com/auburntray/auburntray/internal/tracker"
+)
+
+const (
+	sweepInterval = time.Second
+	// cellTimeout is how long the state of a cell without requests is retained.
+	cellTimeout = 2 * time.Minute
+)
+
+var (
+	// ErrMessage marks a message that can't be decoded.
+	ErrMessage = errors.New("invalid cell message")
+	// ErrUnknownCell means that the configuration in force at this router has no such cell or
+	// rule. The requester's configuration may be newer or older.
+	ErrUnknownCell = errors.New("unknown cell or rule in the current configuration")
+)
+
+// Supervisor reserves slots for requests of other routers, and maintains one Granter per cell. It does not
+// check that this router is the cell's home: the requester considers it so, and a refusal would
+// leave the call without a slot while routers disagree on the membership. It is safe for concurrent
+// use.
+type Supervisor struct {
+	settings     granter.Settings
+	self         uint64
+	force        func() *follower.Config
+	prober       prober
+	notifier     notifier
+	stallMonitor stallMonitor
+
+	mu    sync.Mutex
+	homes map[uint32]*home
+	// states holds the target states from the platform's registry, for cells that this router
+	// becomes the home of later.
+	states *tracker.Tracker
+}
+
+// New returns a supervisor without cells. Self is the identifier of this router.
+func New(s granter.Settings, self uint64, force func() *follower.Config, p prober, t notifier, x stallMonitor) *Supervisor {
+	return &Supervisor{
+		settings: s, self: self, force: force, prober: p, notifier: t, stallMonitor: x, homes: make(map[uint32]*home), states: tracker.New(),
+	}
+}
+
+// Run sweeps the cells periodically until the context ends. The function returns the identifier of
+// a cell's home.
+func (k *Supervisor) Run(c context.Context, home func(*matcher.Cell) uint64) {
+	t := time.NewTicker(sweepInterval)
+	defer t.Stop()
+
+	for {
+		select {
+		case <-t.C:
+			k.sweep(c, home)
+		case <-c.Done():
+			return
+		}
+	}
+}
+
+// sweep probes targets without recent reports, reports the load and replicates placements of the
+// cells that this router is the home of, hands over the placements of others, expires grants and
+// drops unused cells.
+func (k *Supervisor) sweep(c context.Context, home func(*matcher.Cell) uint64) {
+	n := time.Now()
+	f := k.force()
+
+	for _, x := range f.Matcher.Cells() {
+		if y := home(x); y != k.self {
+			k.handOver(x, y)
+
+			continue
+		}
+
+		if h, err := k.home(n, f, x.ID); err == nil {
+			h.markOwned()
+			k.probe(c, n, f.Matcher, h)
+			k.reportLoad(n, f.Matcher, x, h)
+			k.replicate(x, h)
+		}
+	}
+
+	for id, h := range k.snapshot() {
+		h.mu.Lock()
+		h.granter.Expire(n)
+		u := n.Sub(h.lastUsed) > cellTimeout && h.granter.Len() == 0
+		h.mu.Unlock()
+
+		if x := f.Matcher.Cell(id); u && (x == nil || home(x) != k.self) {
+			k.mu.Lock()
+			delete(k.homes, id)
+			k.mu.Unlock()
+		}
+	}
+}
--- a/internal/throttler/throttler.go
+++ b/internal/throttler/throttler.go
@@ -14,7 +14,7 @@
 import (
 	"time"
 
-	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/discoverer"
 	"github.com/auburntray/auburntray/internal/hasher"
 )
 
@@ -50,9 +50,9 @@
 type Throttler struct {
 	settings Settings
 	// sent are the times of the calls in the last window, in ascending order.
-	sent map[enroller.Key][]time.Time
+	sent map[discoverer.Key][]time.Time
 	// shares caches this instance's shares for shareLifetime.
-	shares map[enroller.Key]share
+	shares map[discoverer.Key]share
 }
 
 // share is an instance's share of the calls to a process, with the time of its computation.
@@ -67,7 +67,7 @@
 
 // New returns a Throttler without calls.
 func New(s Settings) *Throttler {
-	return &Throttler{settings: s, sent: make(map[enroller.Key][]time.Time), shares: make(map[enroller.Key]share)}
+	return &Throttler{settings: s, sent: make(map[discoverer.Key][]time.Time), shares: make(map[discoverer.Key]share)}
 }
 
 // Set replaces the settings and recomputes the shares with them.
@@ -78,7 +78,7 @@
 
 // Allow reports whether a call may be sent now to a cold process with a sustainable rate in calls per
 // second. It calls f only if the share must be computed.
-func (t *Throttler) Allow(now time.Time, k enroller.Key, rate float64, f func() Fleet) bool {
+func (t *Throttler) Allow(now time.Time, k discoverer.Key, rate float64, f func() Fleet) bool {
 	x, ok := t.shares[k]
 	if !ok || now.Sub(x.computedAt) >= shareLifetime {
 		x = share{calls: t.settings.Share(k, rate, f()), computedAt: now}
@@ -89,19 +89,19 @@
 }
 
 // RecordSent records that a call is sent to a cold process.
-func (t *Throttler) RecordSent(now time.Time, k enroller.Key) {
+func (t *Throttler) RecordSent(now time.Time, k discoverer.Key) {
 	t.count(now, k)
 	t.sent[k] = append(t.sent[k], now)
 }
 
 // Forget drops the calls and the share of a process.
-func (t *Throttler) Forget(k enroller.Key) {
+func (t *Throttler) Forget(k discoverer.Key) {
 	delete(t.sent, k)
 	delete(t.shares, k)
 }
 
 // count returns the number of calls sent to a process in the last window, and drops earlier ones.
-func (t *Throttler) count(now time.Time, k enroller.Key) int {
+func (t *Throttler) count(now time.Time, k discoverer.Key) int {
 	l := t.sent[k]
 
 	i := 0
@@ -125,7 +125,7 @@
 // that don't know yet that the target is cold. In a partitioned fleet, each side uses a part of the rate in
 // proportion to its size. An instance that has just started knows no others and would consider itself the
 // only one; its share is zero.
-func (s Settings) Share(k enroller.Key, rate float64, f Fleet) int {
+func (s Settings) Share(k discoverer.Key, rate float64, f Fleet) int {
 	if !f.Settled {
 		return 0
 	}
@@ -145,7 +145,7 @@
 }
 
 // rank returns the number of live instances before this one in the rendezvous order of a process.
-func (f Fleet) rank(k enroller.Key) int {
+func (f Fleet) rank(k discoverer.Key) int {
 	own := hasher.Score(uint64(k), f.Self, 1)
 	o := 0
 
--- a/internal/throttler/throttler_test.go
+++ b/internal/throttler/throttler_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/discoverer"
 	"github.com/auburntray/auburntray/internal/throttler"
 )
 
@@ -49,7 +49,7 @@
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
 
-			for k := range enroller.Key(50) {
+			for k := range discoverer.Key(50) {
 				n := 0
 
 				for _, v := range x.views {
--- a/internal/warner/message.go
+++ b/internal/warner/message.go
@@ -10,7 +10,7 @@
 	"github.com/tinylib/msgp/msgp"
 
 	"github.com/auburntray/auburntray/internal/digester"
-	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/discoverer"
 	"github.com/auburntray/auburntray/internal/gossiper"
 	"github.com/auburntray/auburntray/internal/messenger"
 	"github.com/auburntray/auburntray/internal/quarantiner"
@@ -169,7 +169,7 @@
 	for _, s := range m.Calls {
 		r := quarantiner.Record{Call: digester.Digest(s.Call), LastSeen: before(now, s.SeenMs)}
 		for _, e := range s.Ends {
-			r.Crashes = append(r.Crashes, quarantiner.Crash{Process: enroller.Name(e.Target), At: before(now, e.AgeMs), Cleared: e.Excused, ServedBefore: e.Known})
+			r.Crashes = append(r.Crashes, quarantiner.Crash{Process: discoverer.Name(e.Target), At: before(now, e.AgeMs), Cleared: e.Excused, ServedBefore: e.Known})
 		}
 
 		o = append(o, r)
--- a/internal/warner/trial_test.go
+++ b/internal/warner/trial_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/discoverer"
 	"github.com/auburntray/auburntray/internal/wire"
 )
 
@@ -48,7 +48,7 @@
 						ends++
 						mu.Unlock()
 
-						w.Ended(call, enroller.Name(1000+i))
+						w.Ended(call, discoverer.Name(1000+i))
 					})
 				}
 
--- a/internal/warner/warner.go
+++ b/internal/warner/warner.go
@@ -19,7 +19,7 @@
 	"github.com/sirupsen/logrus"
 
 	"github.com/auburntray/auburntray/internal/digester"
-	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/discoverer"
 	"github.com/auburntray/auburntray/internal/gossiper"
 	"github.com/auburntray/auburntray/internal/quarantiner"
 	"github.com/auburntray/auburntray/internal/sleeper"
@@ -113,7 +113,7 @@
 
 // Ended takes that a target's process ended while a call was in flight there, and tells the
 // others. It returns what the call may do from now on.
-func (w *Warner) Ended(d digester.Digest, p enroller.Name) quarantiner.Verdict {
+func (w *Warner) Ended(d digester.Digest, p discoverer.Name) quarantiner.Verdict {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 
--- a/internal/warner/warner_test.go
+++ b/internal/warner/warner_test.go
@@ -15,7 +15,7 @@
 	"github.com/tinylib/msgp/msgp"
 
 	"github.com/auburntray/auburntray/internal/digester"
-	"github.com/auburntray/auburntray/internal/enroller"
+	"github.com/auburntray/auburntray/internal/discoverer"
 	"github.com/auburntray/auburntray/internal/gossiper"
 	"github.com/auburntray/auburntray/internal/quarantiner"
 	"github.com/auburntray/auburntray/internal/warner"
@@ -147,7 +147,7 @@
 // end lets targets end under the call at an instance, one each 100 ms.
 func (f *fleet) end(instance, ends int) {
 	for i := range ends {
-		f.instances[instance].Ended(call, enroller.Name(10*instance+i))
+		f.instances[instance].Ended(call, discoverer.Name(10*instance+i))
 		time.Sleep(100 * time.Millisecond)
 	}
 }
