--- a/internal/commander/gateway.go
+++ b/internal/commander/gateway.go
@@ -75,7 +75,7 @@
 		m *meter.Meter
 	)
 
-	w, t := platform.World(s)
+	w, t := platform.NewEnvironment(s)
 	a := fx.New(gatekeeper.Options(y, w), fx.Populate(&g, &m))
 
 	if err := buildError(a); err != nil {
@@ -103,7 +103,7 @@
 		logrus.WithFields(logrus.Fields{"event": "restartNeeded", "settings": strings.Join(l, ",")}).Warn()
 	}
 
-	t.Move(s.Store)
+	t.SetAddress(s.Store)
 	g.Tune(x.Tunables)
 
 	return nil
@@ -139,9 +139,9 @@
 func gatewaySettings(s platform.Settings) gatekeeper.Settings {
 	return gatekeeper.Settings{
 		Name: s.Name, DataCentre: s.DataCentre, Callers: s.Callers, Ready: s.Ready, Peers: s.Peers, Region: s.Region,
-		Regions: s.Regions, MostLoad: s.MostLoad, ApplyWithin: s.Within, LinkRate: s.Link,
+		Regions: s.Regions, MostLoad: s.MostLoad, ApplyWithin: s.ApplyWithin, LinkRate: s.LinkRate,
 		Tunables: gatekeeper.Tunables{
-			Seeds: s.Seeds, StopTimeout: s.Stop,
+			Seeds: s.Seeds, StopTimeout: s.StopTimeout,
 			Retries: budgeter.Settings{Ratio: s.RetryRatio, Window: s.RetryWindow, Slack: s.RetrySlack},
 			Cold:    throttler.Settings{Coverage: s.ColdCoverage, Slack: s.ColdSlack},
 		},
--- a/internal/standin/commander/gateway.go
+++ b/internal/standin/commander/gateway.go
@@ -39,8 +39,8 @@
 		{Name: "service", Default: "plain", Allowed: "1 to 63 bytes", Help: "service that it belongs to", Read: resolver.Text(&s.Service)},
 		{Name: "data-centre", Default: "dc-1", Allowed: "1 to 63 bytes", Help: "data centre of the server", Read: resolver.Text(&s.DataCentre)},
 		{Name: "slots", Default: "8", Allowed: "1 to 10000", Help: "calls run at once", Read: resolver.Int(&s.Slots, 1, 10000)},
-		{Name: "work", Default: "20ms", Allowed: "0s to 1m", Help: "time until an answer begins", Read: resolver.Duration(&s.Work, 0, time.Minute)},
-		{Name: "pause", Default: "20ms", Allowed: "0s to 1m", Help: "time between events", Read: resolver.Duration(&s.Pause, 0, time.Minute)},
+		{Name: "work", Default: "20ms", Allowed: "0s to 1m", Help: "time until an answer begins", Read: resolver.Duration(&s.WorkTime, 0, time.Minute)},
+		{Name: "pause", Default: "20ms", Allowed: "0s to 1m", Help: "time between events", Read: resolver.Duration(&s.EventInterval, 0, time.Minute)},
 	}
 
 	return command("server", "Run a server of the users' platform", t, func(c context.Context) error {
