--- a/internal/commander/held.go
+++ b/internal/commander/held.go
@@ -13,7 +13,7 @@
 	"github.com/auburntray/auburntray/internal/digester"
 	"github.com/auburntray/auburntray/internal/messenger"
 	"github.com/auburntray/auburntray/internal/quarantiner"
-	"github.com/auburntray/auburntray/internal/warner"
+	"github.com/auburntray/auburntray/internal/replicator"
 )
 
 // newHeld returns the command that shows and releases calls that are held back.
@@ -39,7 +39,7 @@
 			}
 
 			return ask(c.Context(), func(x context.Context, m *messenger.Messenger) error {
-				k := warner.NewClient(m, peer)
+				k := replicator.NewClient(m, peer)
 				if all || len(l) > 0 {
 					return releaseHeld(x, c.OutOrStdout(), k, l, all)
 				}
@@ -72,7 +72,7 @@
 }
 
 // showHeld prints a line for each call.
-func showHeld(c context.Context, w io.Writer, k *warner.Client) error {
+func showHeld(c context.Context, w io.Writer, k *replicator.Client) error {
 	l, err := k.Records(c)
 	if err != nil {
 		return err
@@ -98,7 +98,7 @@
 
 // releaseHeld releases calls and prints a line for each. It fails with ErrNotDone when one that
 // was named is not suspected there.
-func releaseHeld(c context.Context, w io.Writer, k *warner.Client, l []digester.Digest, all bool) error {
+func releaseHeld(c context.Context, w io.Writer, k *replicator.Client, l []digester.Digest, all bool) error {
 	o, err := k.Release(c, l, all)
 	if err != nil {
 		return err
--- a/internal/commander/held_test.go
+++ b/internal/commander/held_test.go
@@ -18,7 +18,7 @@
 	"github.com/auburntray/auburntray/internal/gossiper"
 	"github.com/auburntray/auburntray/internal/messenger"
 	"github.com/auburntray/auburntray/internal/quarantiner"
-	"github.com/auburntray/auburntray/internal/warner"
+	"github.com/auburntray/auburntray/internal/replicator"
 )
 
 // alone is an instance without others.
@@ -40,18 +40,18 @@
 
 	t.Cleanup(stop)
 
-	w := warner.New(m, alone{}, nil, quarantiner.DefaultSettings())
+	w := replicator.New(m, alone{}, nil, quarantiner.DefaultSettings())
 	w.Register(m)
 	m.Serve()
 
 	for i := range 3 {
-		w.Ended(digester.Digest(0xab), discoverer.Name(i))
+		w.RecordCrash(digester.Digest(0xab), discoverer.Name(i))
 		time.Sleep(time.Millisecond)
 	}
 
-	w.Ended(digester.Digest(0xcd), 1)
-	w.Ended(digester.Digest(0xcd), 2)
-	w.Ended(digester.Digest(0xef), 1) // One end is nothing to show.
+	w.RecordCrash(digester.Digest(0xcd), 1)
+	w.RecordCrash(digester.Digest(0xcd), 2)
+	w.RecordCrash(digester.Digest(0xef), 1) // One end is nothing to show.
 
 	return m.Address()
 }
--- a/internal/detector/detector.go
+++ b/internal/detector/detector.go
@@ -1,4 +1,4 @@
-// Package detector notices when this process stood still.
+// Package detector detects that this process was stalled: paused, or not scheduled.
 package detector
 
 import (
@@ -9,67 +9,65 @@
 )
 
 const (
-	// TickEvery is the time between two ticks.
-	TickEvery = 100 * time.Millisecond
-	// allowance is how late a tick may come on a process that runs: a quota of
-	// processor time that is used up holds it for a tenth of a second.
-	allowance = 150 * time.Millisecond
-	// settle is how long after a pause a process is still behind: all that came
-	// meanwhile is done at once.
-	settle = 300 * time.Millisecond
+	// TickInterval is the interval between two ticks.
+	TickInterval = 100 * time.Millisecond
+	// tolerance is how late a tick may come while the process runs: an exhausted quota of processor time
+	// delays it by a tenth of a second.
+	tolerance = 150 * time.Millisecond
+	// recovery is how long after a stall a process still lags behind, while it works off what arrived in the
+	// meantime.
+	recovery = 300 * time.Millisecond
 )
 
-// Detector compares the times of ticks with when they were due. It is safe for
-// concurrent use.
+// Detector compares the times of ticks with the times when they were due. It is safe for concurrent use.
 type Detector struct {
-	mu    sync.Mutex
-	last  time.Time
-	ended time.Time
+	mu       sync.Mutex
+	last     time.Time
+	stallEnd time.Time
 }
 
-// New returns a Detector whose first tick is due TickEvery after now.
+// New returns a Detector whose first tick is due TickInterval after now.
 func New(now time.Time) *Detector {
 	return &Detector{last: now}
 }
 
-// Tick notes a tick and returns how long the process stood still before it; zero
-// when it did not.
+// Tick records a tick and returns how long the process was stalled before it; zero means that it was not.
 func (d *Detector) Tick(now time.Time) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
-	g := now.Sub(d.last) - TickEvery
+	g := now.Sub(d.last) - TickInterval
 	d.last = now
 
-	if g <= allowance {
+	if g <= tolerance {
 		return 0
 	}
 
-	d.ended = now
+	d.stallEnd = now
 
 	return g
 }
 
-// Stalled says that the process stood still, or was behind, at some time between
-// since and now.
+// Stalled reports whether the process was stalled, or still lagged behind after a stall, at any time
+// between since and now.
 //
-// When a process is paused, the network is not. The times that it had set for others
-// run out, and on waking it would take every target, all at once, for one that does
-// not answer, and send what it has to the few that are left.
+// While a process is paused, the network goes on. The time-outs that the process had set for others expire,
+// and on resuming it would consider every target unresponsive at once and send its calls to the few targets
+// that are left.
 func (d *Detector) Stalled(now, since time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
-	// Of all that is due on waking, the tick need not be the first.
-	if now.Sub(d.last)-TickEvery > allowance {
+	// The tick need not be the first of the timers that fire on resuming.
+	if now.Sub(d.last)-TickInterval > tolerance {
 		return true
 	}
 
-	return d.ended.Add(settle).After(since)
+	return d.stallEnd.Add(recovery).After(since)
 }
 
-// TimedOut says that an error is that of a time which ran out, of which Stalled tells
-// whether it says anything.
+// TimedOut reports whether an error is a time-out. After a stall, which Stalled reports, a time-out proves
+// nothing about the other side.
 func TimedOut(err error) bool {
 	var t interface{ Timeout() bool }
 
--- a/internal/detector/detector_test.go
+++ b/internal/detector/detector_test.go
@@ -14,9 +14,9 @@
 	"github.com/auburntray/auburntray/internal/detector"
 )
 
-// An instance is paused for three seconds while it waits for a target. Whatever it
-// concludes about the target from that wait is wrong; what it waited for before the
-// pause, and well after it, is not touched.
+// Guards against wrong conclusions about a target after a stall: an instance is paused for three seconds
+// while it waits for an answer. Waits that ended before the stall, or began well after it, are not
+// affected.
 func TestStalled(t *testing.T) {
 	b := time.Unix(1000, 0)
 	at := func(ms int) time.Time { return b.Add(time.Duration(ms) * time.Millisecond) }
@@ -26,12 +26,12 @@
 		since, now int
 		want       bool
 	}{
-		"runs":                       {ticks: []int{100, 200, 300}, since: 50, now: 320},
-		"ticks are a little late":    {ticks: []int{100, 320, 420}, since: 50, now: 430},
-		"paused, tick still to come": {ticks: []int{100, 200}, since: 190, now: 3200, want: true},
-		"paused, tick has come":      {ticks: []int{100, 200, 3200, 3300}, since: 190, now: 3310, want: true},
+		"running":                    {ticks: []int{100, 200, 300}, since: 50, now: 320},
+		"ticks slightly late":        {ticks: []int{100, 320, 420}, since: 50, now: 430},
+		"paused, before the tick":    {ticks: []int{100, 200}, since: 190, now: 3200, want: true},
+		"paused, after the tick":     {ticks: []int{100, 200, 3200, 3300}, since: 190, now: 3310, want: true},
 		"begun just after the pause": {ticks: []int{100, 200, 3200, 3300}, since: 3250, now: 3390, want: true},
-		"begun well after it":        {ticks: []int{100, 200, 3200, 3300, 3400, 3500, 3600}, since: 3510, now: 3650},
+		"begun well after the pause": {ticks: []int{100, 200, 3200, 3300, 3400, 3500, 3600}, since: 3510, now: 3650},
 		"never paused, old wait":     {ticks: []int{100, 200}, since: -5000, now: 210},
 	}
 	for name, x := range tests {
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestTickTellsHowLong(t *testing.T) {
+func TestTickReturnsStallDuration(t *testing.T) {
 	i := is.New(t)
 	b := time.Unix(1000, 0)
 	d := detector.New(b)
@@ -56,19 +56,19 @@
 	i.Equal(d.Tick(b.Add(3300*time.Millisecond)), time.Duration(0))
 }
 
-// A connection that is refused says something of the other side also when it comes
-// just after a pause; a time that ran out does not.
+// Guards against treating all errors after a stall alike: a refused connection shows the state of the other
+// side also after a stall, a time-out does not.
 func TestTimedOut(t *testing.T) {
 	tests := map[string]struct {
 		err  error
 		want bool
 	}{
-		"nothing failed":    {},
+		"no error":          {},
 		"a deadline":        {err: context.DeadlineExceeded, want: true},
-		"a marked deadline": {err: errors.Mark(errors.Wrap(context.DeadlineExceeded, "asking"), errors.New("late")), want: true},
-		"a dial's time":     {err: &net.OpError{Op: "dial", Err: os.ErrDeadlineExceeded}, want: true},
+		"a marked deadline": {err: errors.Mark(errors.Wrap(context.DeadlineExceeded, "request"), errors.New("late")), want: true},
+		"a dial time-out":   {err: &net.OpError{Op: "dial", Err: os.ErrDeadlineExceeded}, want: true},
 		"a refused dial":    {err: &net.OpError{Op: "dial", Err: syscall.ECONNREFUSED}},
-		"a caller's leave":  {err: context.Canceled},
+		"a cancelled call":  {err: context.Canceled},
 		"another error":     {err: errors.New("broken")},
 	}
 	for name, x := range tests {
--- a/internal/digester/digester.go
+++ b/internal/digester/digester.go
@@ -1,5 +1,5 @@
-// Package digester tells calls apart by what targets are asked to do, so that a call that
-// comes again under another ID, at another instance, is known for the same.
+// Package digester identifies calls by their content, so that a call repeated under another ID, or at
+// another instance, is treated as the same call.
 package digester
 
 import (
@@ -12,12 +12,12 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrDigest marks a text that is no digest.
-var ErrDigest = errors.New("the digest is not valid")
+// ErrDigest marks a text that is not a digest.
+var ErrDigest = errors.New("invalid digest")
 
-// Digest stands for a call: the first 64 bits of a SHA-256. Nothing of the call can be read
-// from it, so it may be logged and told to other instances. Two calls of the 10^9 that a
-// fleet serves in four days share one with a chance of 3 in 100.
+// Digest identifies a call: the first 64 bits of a SHA-256. The content of the call cannot be recovered
+// from it, so it may be logged and sent to other instances. Among the 10^9 calls that a fleet serves in
+// four days, the probability of a collision is 3 in 100.
 type Digest uint64
 
 // String returns the digest in hexadecimal.
@@ -25,7 +25,7 @@
 	return fmt.Sprintf("%016x", uint64(d))
 }
 
-// Parse reads what String returns. It fails with ErrDigest.
+// Parse parses the output of Digest.String. It fails with ErrDigest.
 func Parse(s string) (Digest, error) {
 	const base, bits, digits = 16, 64, 16
 
@@ -37,9 +37,9 @@
 	return Digest(n), nil
 }
 
-// Of returns the digest of a call. Uri is its path with its query as the caller sent it. The
-// call's ID, its framing, its other headers and the event it goes on from make no difference:
-// they differ between two sendings of the same call. It takes a microsecond a KB.
+// Of returns the digest of a call. Uri is its path with its query as the caller sent it. The call's ID, its
+// framing, its other headers and the event from which it resumes are left out: they differ between two
+// transmissions of the same call. It takes a microsecond per KB.
 func Of(customer, method, uri string, body []byte) Digest {
 	h := sha256.New()
 
@@ -52,8 +52,8 @@
 	return Digest(binary.BigEndian.Uint64(h.Sum(nil)))
 }
 
-// add hashes a field after its length: without it the end of one field and the beginning of
-// the next could change places, and two calls would share a digest.
+// add hashes the length of a field and then the field. Without the length, bytes could move from the end of
+// one field to the beginning of the next without a change of the digest.
 func add(h hash.Hash, b []byte) {
 	var n [8]byte
 
--- a/internal/digester/digester_test.go
+++ b/internal/digester/digester_test.go
@@ -10,7 +10,7 @@
 	"github.com/auburntray/auburntray/internal/digester"
 )
 
-func TestWhatMakesTwoCallsTheSame(t *testing.T) {
+func TestDigestsOfEqualCalls(t *testing.T) {
 	type call struct {
 		customer, method, uri, body string
 	}
@@ -21,7 +21,7 @@
 		other call
 		same  bool
 	}{
-		"sent again":           {b, true},
+		"repeated":             {b, true},
 		"another customer":     {call{"d", b.method, b.uri, b.body}, false},
 		"no customer":          {call{"", b.method, b.uri, b.body}, false},
 		"another method":       {call{b.customer, "GET", b.uri, b.body}, false},
@@ -29,7 +29,7 @@
 		"another query":        {call{b.customer, b.method, "/notes/1?x=3", b.body}, false},
 		"another body":         {call{b.customer, b.method, b.uri, "text "}, false},
 		"no body":              {call{b.customer, b.method, b.uri, ""}, false},
-		"fields change places": {call{b.customer, "POS", "T/notes/1?x=2", b.body}, false},
+		"shifted field bounds": {call{b.customer, "POS", "T/notes/1?x=2", b.body}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := digester.Of(b.customer, b.method, b.uri, []byte(b.body))
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestDigestsAsText(t *testing.T) {
+func TestParse(t *testing.T) {
 	is.New(t).Equal(digester.Digest(0xab).String(), "00000000000000ab")
 
 	for name, x := range map[string]struct {
@@ -46,10 +46,10 @@
 		want digester.Digest
 		ok   bool
 	}{
-		"whole":      {"00000000000000ab", 0xab, true},
+		"valid":      {"00000000000000ab", 0xab, true},
 		"too short":  {"ab", 0, false},
 		"too long":   {"000000000000000ab", 0, false},
-		"no digits":  {"00000000000000xy", 0, false},
+		"not hex":    {"00000000000000xy", 0, false},
 		"empty":      {"", 0, false},
 		"with signs": {"+0000000000000ab", 0, false},
 	} {
--- a/internal/extender/extender.go
+++ b/internal/extender/extender.go
@@ -1,7 +1,7 @@
-// Package extender makes contexts that last while something arrives.
+// Package extender makes contexts with an idle time-out: their deadline is extended while data arrives.
 //
-// A time for a whole answer fits one length only: what is long, or comes over a thin link, is given up on its
-// way each time that it is asked for.
+// A fixed time-out for a whole answer suits one length only: a long answer, or one over a narrow-bandwidth
+// link, would be aborted on its way on every attempt.
 package extender
 
 import (
@@ -11,62 +11,62 @@
 )
 
 const (
-	// SilentAfter is in how much time at least a piece of an answer arrives that is on its way.
-	SilentAfter = 300 * time.Millisecond
-	// LongMost bounds an answer that goes on arriving. A configuration of two megabytes takes a link of
-	// 10 Mbit/s that long when callers take two thirds of it.
-	LongMost = 5 * time.Second
+	// IdleTimeout is the idle time-out: the longest time between two parts of an answer in transfer.
+	IdleTimeout = 300 * time.Millisecond
+	// MaxTransfer bounds the total duration of a transfer. A configuration of 2 MB takes this long over a link
+	// of 10 Mbit/s of which callers use two thirds.
+	MaxTransfer = 5 * time.Second
 )
 
-// Arriving returns the settings of a context for an answer that begins within a time, and lasts while it
-// arrives.
-func Arriving(within time.Duration) Settings {
-	return Settings{First: within, Gap: SilentAfter, Most: LongMost}
+// DefaultSettings returns the settings of a context for an answer that begins within a time and may last while
+// parts of it arrive.
+func DefaultSettings(within time.Duration) Settings {
+	return Settings{Initial: within, Idle: IdleTimeout, Max: MaxTransfer}
 }
 
-// Settings say how long a context lasts.
+// Settings are the time-outs of a context.
 type Settings struct {
-	// First is how long it lasts when nothing arrives; zero sets no bound.
-	First time.Duration
-	// Gap is how long it lasts after something has arrived, if that is later than First.
-	Gap time.Duration
-	// Most is how long it lasts in any case, when First is set.
-	Most time.Duration
-	// Came is called each time that something arrives; it may be nil.
-	Came func()
+	// Initial is the time-out while nothing arrives; zero sets no bound.
+	Initial time.Duration
+	// Idle is the time from the last arrival to the deadline, if that is later than the first deadline.
+	Idle time.Duration
+	// Max bounds the total duration when a first time-out is set.
+	Max time.Duration
+	// OnExtend is called on each arrival; it may be nil.
+	OnExtend func()
 }
 
-// key is that of an extender in a context.
+// key is the key of the extender in a context.
 type key struct{}
 
-// extender moves the end of one context.
+// extender moves the deadline of one context.
 type extender struct {
 	settings Settings
-	// outer is that of the context that this one was made from, nil when there is none.
-	outer *extender
-	end   context.CancelCauseFunc
+	// parent is the extender of the parent context, nil if there is none.
+	parent *extender
+	cancel context.CancelCauseFunc
 
 	mu       sync.Mutex
 	timer    *time.Timer
 	deadline time.Time
-	last     time.Time
+	limit    time.Time
 }
 
-// New returns a context that Extend extends, and what releases it. Its cause is context.DeadlineExceeded once
-// its time is over.
+// New returns a context whose deadline Extend moves, and a function that releases it. Once the deadline has
+// passed, its cause is context.DeadlineExceeded.
 func New(c context.Context, s Settings) (context.Context, context.CancelFunc) {
 	x, end := context.WithCancelCause(c)
 	o, _ := c.Value(key{}).(*extender)
-	e := &extender{settings: s, outer: o, end: end}
+	e := &extender{settings: s, parent: o, cancel: end}
 
 	stop := func() { end(context.Canceled) }
 
-	if s.First > 0 {
+	if s.Initial > 0 {
 		n := time.Now()
 
 		e.mu.Lock()
-		e.deadline, e.last = n.Add(s.First), n.Add(s.Most)
-		e.timer = time.AfterFunc(s.First, e.look)
+		e.deadline, e.limit = n.Add(s.Initial), n.Add(s.Max)
+		e.timer = time.AfterFunc(s.Initial, e.expire)
 		e.mu.Unlock()
 
 		stop = func() {
@@ -78,30 +78,30 @@
 	return context.WithValue(x, key{}, e), stop
 }
 
-// Extend tells a context, and those that it was made from, that something has arrived. It does nothing to
-// contexts that New did not make.
+// Extend records an arrival for a context and its parents. It does nothing to contexts that New did not
+// make. It is safe for concurrent use if the callbacks in the settings are.
 func Extend(c context.Context) {
 	e, _ := c.Value(key{}).(*extender)
-	for ; e != nil; e = e.outer {
+	for ; e != nil; e = e.parent {
 		e.extend()
 	}
 }
 
 func (e *extender) extend() {
-	if e.settings.Came != nil {
-		e.settings.Came()
+	if e.settings.OnExtend != nil {
+		e.settings.OnExtend()
 	}
 
-	if e.settings.First <= 0 {
+	if e.settings.Initial <= 0 {
 		return
 	}
 
 	e.mu.Lock()
 	defer e.mu.Unlock()
 
-	d := time.Now().Add(e.settings.Gap)
-	if d.After(e.last) {
-		d = e.last
+	d := time.Now().Add(e.settings.Idle)
+	if d.After(e.limit) {
+		d = e.limit
 	}
 
 	if d.After(e.deadline) {
@@ -109,8 +109,8 @@
 	}
 }
 
-// look ends the context, or looks again when its end has moved.
-func (e *extender) look() {
+// expire cancels the context, or sets the timer anew if the deadline has moved.
+func (e *extender) expire() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 
@@ -120,5 +120,5 @@
 		return
 	}
 
-	e.end(context.DeadlineExceeded)
+	e.cancel(context.DeadlineExceeded)
 }
--- a/internal/extender/extender_test.go
+++ b/internal/extender/extender_test.go
@@ -12,23 +12,23 @@
 	"github.com/auburntray/auburntray/internal/sleeper"
 )
 
-// Guards against reads that are given up on their way, and against reads that never end.
+// Guards against reads that are aborted while data arrives, and against reads that never end.
 func TestExtend(t *testing.T) {
-	s := extender.Settings{First: time.Second, Gap: 300 * time.Millisecond, Most: 3 * time.Second}
+	s := extender.Settings{Initial: time.Second, Idle: 300 * time.Millisecond, Max: 3 * time.Second}
 
 	for name, x := range map[string]struct {
 		settings extender.Settings
-		// every and times are how often something arrives.
+		// every is the interval between arrivals, times their number.
 		every time.Duration
 		times int
 		ends  time.Duration
 	}{
-		"nothing arrives":          {s, 0, 0, time.Second},
-		"all arrives soon":         {s, 100 * time.Millisecond, 5, time.Second},
-		"it takes longer":          {s, 200 * time.Millisecond, 7, 1700 * time.Millisecond},
-		"it stops for too long":    {s, 400 * time.Millisecond, 7, 1100 * time.Millisecond},
-		"it goes on and on":        {s, 200 * time.Millisecond, 100, 3 * time.Second},
-		"a later end than the gap": {extender.Settings{First: time.Second, Gap: 0, Most: 3 * time.Second}, 200 * time.Millisecond, 100, time.Second},
+		"nothing arrives":         {s, 0, 0, time.Second},
+		"arrives in initial time": {s, 100 * time.Millisecond, 5, time.Second},
+		"arrives after it":        {s, 200 * time.Millisecond, 7, 1700 * time.Millisecond},
+		"idle for too long":       {s, 400 * time.Millisecond, 7, 1100 * time.Millisecond},
+		"reaches the maximum":     {s, 200 * time.Millisecond, 100, 3 * time.Second},
+		"initial time is longer":  {extender.Settings{Initial: time.Second, Idle: 0, Max: 3 * time.Second}, 200 * time.Millisecond, 100, time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -53,16 +53,16 @@
 	}
 }
 
-// Guards against a step that lasts while the whole that it belongs to is given up.
+// Guards against an operation that continues while the operation that it is part of times out.
 func TestExtendReachesOuterContexts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		i := is.New(t)
 		b, n := time.Now(), 0
-		o, stop := extender.New(t.Context(), extender.Settings{First: time.Second, Gap: time.Second, Most: time.Minute})
+		o, stop := extender.New(t.Context(), extender.Settings{Initial: time.Second, Idle: time.Second, Max: time.Minute})
 
 		defer stop()
 
-		c, end := extender.New(context.WithoutCancel(o), extender.Settings{Came: func() { n++ }})
+		c, end := extender.New(context.WithoutCancel(o), extender.Settings{OnExtend: func() { n++ }})
 		defer end()
 
 		time.Sleep(900 * time.Millisecond)
@@ -71,6 +71,6 @@
 		i.Equal(time.Since(b), 1900*time.Millisecond)
 		i.Equal(n, 1)
 		i.NoErr(c.Err())
-		extender.Extend(t.Context()) // No extender made it.
+		extender.Extend(t.Context()) // Not made by New.
 	})
 }
--- a/internal/filterer/isolate.go
+++ b/internal/filterer/isolate.go
@@ -28,14 +28,14 @@
 
 // quarantine records which calls were running on targets that crashed, for all routers.
 type quarantine interface {
-	Try(c context.Context, d digester.Digest, deadline time.Time) (quarantiner.Verdict, bool, func())
-	Ended(d digester.Digest, p discoverer.Name) quarantiner.Verdict
-	Served(d digester.Digest)
+	Admit(c context.Context, d digester.Digest, deadline time.Time) (quarantiner.Verdict, bool, func())
+	RecordCrash(d digester.Digest, p discoverer.Name) quarantiner.Verdict
+	RecordServed(d digester.Digest)
 }
 
 // prober determines whether a target's process has crashed.
 type prober interface {
-	Ended(c context.Context, a netip.AddrPort, others []netip.AddrPort) bool
+	Crashed(c context.Context, a netip.AddrPort, others []netip.AddrPort) bool
 }
 
 // Isolate refuses calls that repeatedly crashed targets. Any further target that runs such
@@ -72,7 +72,7 @@
 
 	i.endTrial(x)
 
-	v, ok, end := i.Quarantine.Try(c, x.Digest, x.Deadline)
+	v, ok, end := i.Quarantine.Admit(c, x.Digest, x.Deadline)
 	x.EndTrial = end
 
 	return v, ok
@@ -91,9 +91,9 @@
 	switch {
 	case i.Quarantine == nil:
 	case err == nil:
-		i.Quarantine.Served(x.Digest)
-	case c.Err() == nil && x.Result.Sent && !x.Result.NotRun && x.Result.TargetFailed && i.Targets.Ended(c, x.Target.Address, otherTargets(x)):
-		v := i.Quarantine.Ended(x.Digest, processName(x.Target, time.Now()))
+		i.Quarantine.RecordServed(x.Digest)
+	case c.Err() == nil && x.Result.Sent && !x.Result.NotRun && x.Result.TargetFailed && i.Targets.Crashed(c, x.Target.Address, otherTargets(x)):
+		v := i.Quarantine.RecordCrash(x.Digest, processName(x.Target, time.Now()))
 
 		logrus.WithFields(logrus.Fields{
 			"event": "targetEnded", "request": x.ID, "digest": x.Digest, "target": x.Target.Name, "ends": v.Crashes, "standing": v.Status,
--- a/internal/forwarder/quarantine.go
+++ b/internal/forwarder/quarantine.go
@@ -17,16 +17,16 @@
 )
 
 // Quarantine records the calls that were running when targets crashed, across all instances. It is
-// implemented by warner.Warner.
+// implemented by replicator.Warner.
 type Quarantine interface {
-	// Try decides whether a call with a deadline may be sent to a target. The returned function
+	// Admit decides whether a call with a deadline may be sent to a target. The returned function
 	// must be called when the target has answered or crashed.
-	Try(c context.Context, d digester.Digest, deadline time.Time) (quarantiner.Verdict, bool, func())
-	// Ended records that a process crashed while a call was running there, and returns the verdict
+	Admit(c context.Context, d digester.Digest, deadline time.Time) (quarantiner.Verdict, bool, func())
+	// RecordCrash records that a process crashed while a call was running there, and returns the verdict
 	// on further sendings of the call.
-	Ended(d digester.Digest, p discoverer.Name) quarantiner.Verdict
-	// Served records that a call was answered in full.
-	Served(d digester.Digest)
+	RecordCrash(d digester.Digest, p discoverer.Name) quarantiner.Verdict
+	// RecordServed records that a call was answered in full.
+	RecordServed(d digester.Digest)
 }
 
 // SetQuarantine sets the quarantine. It must be called before the first call is served.
@@ -60,7 +60,7 @@
 
 	x.finishProbe()
 
-	v, ok, end := f.quarantine.Try(x.request.Context(), x.digest, x.deadline)
+	v, ok, end := f.quarantine.Admit(x.request.Context(), x.digest, x.deadline)
 	x.endProbe = end
 
 	return v, ok
@@ -82,14 +82,14 @@
 	case f.quarantine == nil || r.notRun:
 		return false
 	case r.err == nil || r.answer != nil:
-		f.quarantine.Served(x.digest)
+		f.quarantine.RecordServed(x.digest)
 
 		return false
-	case c.Err() != nil || !errors.Is(r.err, errBroken) || !f.client.prober.Ended(c, t.Address, f.witnesses(t)):
+	case c.Err() != nil || !errors.Is(r.err, errBroken) || !f.client.prober.Crashed(c, t.Address, f.witnesses(t)):
 		return false
 	}
 
-	v := f.quarantine.Ended(x.digest, t.Key().Name())
+	v := f.quarantine.RecordCrash(x.digest, t.Key().Name())
 
 	f.mu.Lock()
 	f.sharder.RecordCrash(time.Now(), t)
@@ -147,7 +147,7 @@
 // dialOutcome determines from a failed connection attempt whether the target's process has crashed
 // or can't be reached.
 func (f *Forwarder) dialOutcome(c context.Context, t *discoverer.Target, err error) selector.Outcome {
-	if prober.Refused(err) && f.client.prober.Reached(c, f.witnesses(t)) {
+	if prober.Refused(err) && f.client.prober.Reachable(c, f.witnesses(t)) {
 		return selector.Crashed
 	}
 
--- a/internal/forwarder/quarantine_test.go
+++ b/internal/forwarder/quarantine_test.go
@@ -34,7 +34,7 @@
 	return &fakeQuarantine{q: quarantiner.New(s)}
 }
 
-func (x *fakeQuarantine) Try(_ context.Context, d digester.Digest, _ time.Time) (quarantiner.Verdict, bool, func()) {
+func (x *fakeQuarantine) Admit(_ context.Context, d digester.Digest, _ time.Time) (quarantiner.Verdict, bool, func()) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 
@@ -50,7 +50,7 @@
 	}
 }
 
-func (x *fakeQuarantine) Ended(d digester.Digest, p discoverer.Name) quarantiner.Verdict {
+func (x *fakeQuarantine) RecordCrash(d digester.Digest, p discoverer.Name) quarantiner.Verdict {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 
@@ -60,7 +60,7 @@
 	return v
 }
 
-func (x *fakeQuarantine) Served(d digester.Digest) {
+func (x *fakeQuarantine) RecordServed(d digester.Digest) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 
--- a/internal/gatekeeper/gatekeeper.go
+++ b/internal/gatekeeper/gatekeeper.go
@@ -10,13 +10,13 @@
 	"github.com/cockroachdb/errors"
 	"github.com/sirupsen/logrus"
 
+	"github.com/auburntray/auburntray/internal/advertiser"
 	"github.com/auburntray/auburntray/internal/drainer"
 	"github.com/auburntray/auburntray/internal/forwarder"
 	"github.com/auburntray/auburntray/internal/idler"
-	"github.com/auburntray/auburntray/internal/informer"
 	"github.com/auburntray/auburntray/internal/joiner"
 	"github.com/auburntray/auburntray/internal/messenger"
-	"github.com/auburntray/auburntray/internal/warner"
+	"github.com/auburntray/auburntray/internal/replicator"
 	"github.com/auburntray/auburntray/internal/watcher"
 )
 
@@ -32,8 +32,8 @@
 	drainer       *drainer.Drainer
 	messenger     *messenger.Messenger
 	joiner        *joiner.Joiner
-	informer      *informer.Informer
-	warner        *warner.Warner
+	advertiser    *advertiser.Advertiser
+	replicator    *replicator.Replicator
 	watchers      []*watcher.Watcher
 	idler         *idler.Idler
 	callerServer  *http.Server
--- a/internal/gatekeeper/metrics.go
+++ b/internal/gatekeeper/metrics.go
@@ -31,9 +31,9 @@
 
 		return o
 	})
-	m.Follow("calls_suspected", func() float64 { return float64(g.warner.Counts().Suspected) })
-	m.Follow("calls_held_back", func() float64 { return float64(g.warner.Counts().Held) })
-	m.Follow("calls_excused", func() float64 { return float64(g.warner.Counts().Excused) })
-	m.Follow("targets_ended_under_calls", func() float64 { return float64(g.warner.Counts().Ends) })
+	m.Follow("calls_suspected", func() float64 { return float64(g.replicator.Counts().Suspected) })
+	m.Follow("calls_held_back", func() float64 { return float64(g.replicator.Counts().Quarantined) })
+	m.Follow("calls_excused", func() float64 { return float64(g.replicator.Counts().Cleared) })
+	m.Follow("targets_ended_under_calls", func() float64 { return float64(g.replicator.Counts().Crashes) })
 	m.Follow("control_bytes_received", func() float64 { _, n := g.messenger.Traffic().Bytes(); return float64(n) })
 }
--- a/internal/gatekeeper/options.go
+++ b/internal/gatekeeper/options.go
@@ -9,21 +9,21 @@
 	"go.uber.org/fx"
 	"go.uber.org/fx/fxevent"
 
+	"github.com/auburntray/auburntray/internal/advertiser"
 	"github.com/auburntray/auburntray/internal/budgeter"
 	"github.com/auburntray/auburntray/internal/discoverer"
 	"github.com/auburntray/auburntray/internal/drainer"
 	"github.com/auburntray/auburntray/internal/forwarder"
-	"github.com/auburntray/auburntray/internal/informer"
 	"github.com/auburntray/auburntray/internal/joiner"
 	"github.com/auburntray/auburntray/internal/messenger"
 	"github.com/auburntray/auburntray/internal/meter"
 	"github.com/auburntray/auburntray/internal/quarantiner"
 	"github.com/auburntray/auburntray/internal/repeater"
+	"github.com/auburntray/auburntray/internal/replicator"
 	"github.com/auburntray/auburntray/internal/reserver"
 	"github.com/auburntray/auburntray/internal/selector"
 	"github.com/auburntray/auburntray/internal/throttler"
 	"github.com/auburntray/auburntray/internal/tracer"
-	"github.com/auburntray/auburntray/internal/warner"
 	"github.com/auburntray/auburntray/internal/watcher"
 	"github.com/auburntray/auburntray/internal/wire"
 )
@@ -52,7 +52,7 @@
 func Options(s Settings, w Environment) fx.Option {
 	return fx.Options(
 		fx.Supply(s, w),
-		fx.Provide(meter.New, provideState, newTracer, newMessenger, newMembers, newRepeater, newReserver, newWarner, newForwarder, newGatekeeper),
+		fx.Provide(meter.New, provideState, newTracer, newMessenger, newMembers, newRepeater, newReserver, newReplicator, newForwarder, newGatekeeper),
 		fx.WithLogger(func() fxevent.Logger { return fxevent.NopLogger }),
 		// A process that stalls during its start must not exit because of that.
 		fx.StartTimeout(lifecycleTimeout),
@@ -85,22 +85,22 @@
 	return r
 }
 
-func newWarner(w Environment, m *messenger.Messenger, j *joiner.Joiner) *warner.Warner {
-	x := warner.New(m, j, w.Quarantine, quarantiner.DefaultSettings())
+func newReplicator(w Environment, m *messenger.Messenger, j *joiner.Joiner) *replicator.Replicator {
+	x := replicator.New(m, j, w.Quarantine, quarantiner.DefaultSettings())
 	x.Register(m)
 
 	return x
 }
 
 func newForwarder(
-	l fx.Lifecycle, s Settings, w Environment, f *state, t trace.Tracer, m *meter.Meter, j *joiner.Joiner, h *reserver.Reserver, q *warner.Warner,
+	l fx.Lifecycle, s Settings, w Environment, f *state, t trace.Tracer, m *meter.Meter, j *joiner.Joiner, h *reserver.Reserver, q *replicator.Replicator,
 ) *forwarder.Forwarder {
 	x, stop := forwarder.New(
 		forwarder.Settings{DataCentre: s.DataCentre, DefaultTimeout: defaultPatience, MaxBody: maxBodyBytes, Regions: s.Regions},
 		w.Dialect, f, t, m, &net.Dialer{}, newChooser(s, j), budgeter.New(s.Retries, time.Now()))
 	x.SetReserver(h)
 	x.SetQuarantine(q)
-	q.OnEnds(x.RecordCrashes)
+	q.OnCrashes(x.RecordCrashes)
 	f.onRosterChange = func(r *discoverer.Registry) {
 		x.Prune(r)
 		h.Forget(r)
@@ -143,15 +143,15 @@
 type dependencies struct {
 	fx.In
 
-	Settings  Settings
-	World     Environment
-	State     *state
-	Forwarder *forwarder.Forwarder
-	Messenger *messenger.Messenger
-	Joiner    *joiner.Joiner
-	Repeater  *repeater.Repeater
-	Warner    *warner.Warner
-	Meter     *meter.Meter
+	Settings   Settings
+	World      Environment
+	State      *state
+	Forwarder  *forwarder.Forwarder
+	Messenger  *messenger.Messenger
+	Joiner     *joiner.Joiner
+	Repeater   *repeater.Repeater
+	Replicator *replicator.Replicator
+	Meter      *meter.Meter
 }
 
 func newGatekeeper(p dependencies) *Gatekeeper {
@@ -166,16 +166,16 @@
 	m.Handle(wire.KindStream, r.Answer)
 	m.Handle(wire.KindGossip, j.Gossip)
 
-	i := informer.New(m, j, x)
-	m.Handle(wire.KindNews, i.Told)
-	m.Handle(wire.KindRelay, i.Relayed)
-	m.Handle(wire.KindGone, i.ToldGone)
-	x.OnGone(i.Gone)
-	m.Handle(wire.KindLeaving, i.ToldLeaving)
-	x.OnLeaving(i.Leaving)
+	i := advertiser.New(m, j, x)
+	m.Handle(wire.KindNews, i.HandleUpdate)
+	m.Handle(wire.KindRelay, i.HandleRelay)
+	m.Handle(wire.KindGone, i.HandleGone)
+	x.OnGone(i.NotifyGone)
+	m.Handle(wire.KindLeaving, i.HandleLeaving)
+	x.OnLeaving(i.NotifyLeaving)
 
 	g := &Gatekeeper{
-		settings: s, state: f, forwarder: x, evacuations: newEvacuationReporter(f, x), messenger: m, joiner: j, informer: i, warner: p.Warner, drainer: drainer.New(drainNotice, maxCalls),
+		settings: s, state: f, forwarder: x, evacuations: newEvacuationReporter(f, x), messenger: m, joiner: j, advertiser: i, replicator: p.Replicator, drainer: drainer.New(drainNotice, maxCalls),
 		watchers: []*watcher.Watcher{
 			watcher.New(config, c, handlers{
 				// Evacuations come first: a starting instance must know them before it has a catalog.
--- a/internal/gatekeeper/run.go
+++ b/internal/gatekeeper/run.go
@@ -36,12 +36,12 @@
 	g.runInBackground(func() { runEvery(x, removeLapsedInterval, g.state.removeLapsed) })
 	g.runInBackground(func() { runEvery(x, removeLapsedInterval, g.evacuations.reportEmptied) })
 	g.runInBackground(func() { runEvery(x, partitionCheckInterval, func() { g.forwarder.CheckConnectivity(x) }) })
-	g.runInBackground(func() { runEvery(x, detector.TickEvery, g.state.recordTick) })
+	g.runInBackground(func() { runEvery(x, detector.TickInterval, g.state.recordTick) })
 	g.runInBackground(func() { runEvery(x, idleSweepInterval, func() { g.idler.Sweep() }) })
 	g.messenger.Serve()
 	g.runInBackground(func() { g.joiner.Run(x) })
-	g.runInBackground(func() { g.informer.Run(x) })
-	g.runInBackground(func() { g.warner.Run(x) })
+	g.runInBackground(func() { g.advertiser.Run(x) })
+	g.runInBackground(func() { g.replicator.Run(x) })
 
 	for _, w := range g.watchers {
 		g.runInBackground(func() { w.Run(x) })
--- a/internal/gatekeeper/settings.go
+++ b/internal/gatekeeper/settings.go
@@ -8,8 +8,8 @@
 	"github.com/auburntray/auburntray/internal/cataloger"
 	"github.com/auburntray/auburntray/internal/discoverer"
 	"github.com/auburntray/auburntray/internal/forwarder"
+	"github.com/auburntray/auburntray/internal/replicator"
 	"github.com/auburntray/auburntray/internal/throttler"
-	"github.com/auburntray/auburntray/internal/warner"
 	"github.com/auburntray/auburntray/internal/watcher"
 )
 
@@ -96,7 +96,7 @@
 	Targets      watcher.Source
 	DecodeTarget func(key string, b []byte) (discoverer.Target, error)
 	// Quarantine stores the records of quarantined calls; nil stores none.
-	Quarantine warner.Shelf
+	Quarantine replicator.Store
 	// ReadyPath is the path of the readiness checks.
 	ReadyPath string
 }
--- a/internal/messenger/arriving_test.go
+++ b/internal/messenger/arriving_test.go
@@ -66,7 +66,7 @@
 
 			defer stop()
 
-			c, end := extender.New(t.Context(), extender.Settings{First: 200 * time.Millisecond, Gap: time.Second, Most: time.Minute})
+			c, end := extender.New(t.Context(), extender.Settings{Initial: 200 * time.Millisecond, Idle: time.Second, Max: time.Minute})
 			defer end()
 
 			i.True(errors.Is(a.Call(c, b.Address(), x.kind, &wire.StreamRequest{}, x.read), x.err))
--- a/internal/prober/prober.go
+++ b/internal/prober/prober.go
@@ -1,4 +1,4 @@
-// Package prober finds out whether the process of a target has ended.
+// Package prober detects whether the process of a target has crashed.
 package prober
 
 import (
@@ -12,69 +12,70 @@
 	"golang.org/x/sync/singleflight"
 )
 
-// Dial makes a connection, within a time of its own.
+// Dial opens a connection, within a time-out of its own.
 type Dial func(c context.Context, network, address string) (net.Conn, error)
 
-// Prober dials targets. It is safe for concurrent use.
+// Prober dials the addresses of targets. It is safe for concurrent use.
 type Prober struct {
-	dial  Dial
-	asked singleflight.Group
+	dial     Dial
+	inFlight singleflight.Group
 }
 
-// New returns a Prober.
+// New returns a Prober that connects with a Dial.
 func New(d Dial) *Prober {
 	return &Prober{dial: d}
 }
 
-// Ended says that a target's process is gone: its address refuses connections, and one of some
-// others that should be as near takes them.
+// Crashed reports whether a target's process has crashed: its address refuses connections, and at least one
+// of the others, targets as close as it, accepts them.
 //
-// A connection that breaks tells less. It may have been reset alone, by the target or on the
-// way, while the target goes on; taken for its end, calls of which answers get lost would be
-// held back. And some cuts reset and refuse: seen from a data centre that is cut off, all
-// targets elsewhere would have ended under the calls that were in flight. Without others the
-// target's word must do. Calls that broke together ask once.
-func (p *Prober) Ended(c context.Context, a netip.AddrPort, others []netip.AddrPort) bool {
-	return p.ask(c, a) == refused && (len(others) == 0 || p.Reached(c, others))
+// A broken connection alone is not enough. It may have been reset by the target or on the way while the
+// target goes on running; if that counted as a crash, calls whose answers get lost would be quarantined.
+// And some network partitions reset and refuse connections: seen from a data centre that is cut off, all
+// targets elsewhere would have crashed under the calls in flight. Without others, the refusal of the target
+// alone decides. Concurrent requests for one address share one dial.
+func (p *Prober) Crashed(c context.Context, a netip.AddrPort, others []netip.AddrPort) bool {
+	return p.connect(c, a) == refused && (len(others) == 0 || p.Reachable(c, others))
 }
 
-// Reached says that one of some addresses takes connections.
-func (p *Prober) Reached(c context.Context, l []netip.AddrPort) bool {
-	return slices.ContainsFunc(l, func(a netip.AddrPort) bool { return p.ask(c, a) == taken })
+// Reachable reports whether at least one of the addresses accepts connections.
+func (p *Prober) Reachable(c context.Context, l []netip.AddrPort) bool {
+	return slices.ContainsFunc(l, func(a netip.AddrPort) bool { return p.connect(c, a) == accepted })
 }
 
-// Refused says that an attempt to connect failed because nobody listens at the address.
+// Refused reports whether an attempt to connect failed because no process listens at the address.
 func Refused(err error) bool {
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// answer is what became of an attempt to connect.
-type answer int
+// result is the outcome of an attempt to connect.
+type result int
 
 const (
-	// none is neither of the others: the time was up, or there is no way.
-	none answer = iota
-	taken
+	// noAnswer covers all other results: a time-out, or no route.
+	noAnswer result = iota
+	accepted
 	refused
 )
 
-// ask connects to an address. Whoever asks meanwhile gets the same answer.
-func (p *Prober) ask(c context.Context, a netip.AddrPort) answer {
-	v, _, _ := p.asked.Do(a.String(), func() (any, error) {
+// connect connects to an address. Concurrent calls for one address share the result, so the dial is not
+// cancelled with the call that made it.
+func (p *Prober) connect(c context.Context, a netip.AddrPort) result {
+	v, _, _ := p.inFlight.Do(a.String(), func() (any, error) {
 		n, err := p.dial(context.WithoutCancel(c), "tcp", a.String())
 
 		switch {
 		case err == nil:
 			_ = n.Close() // Nothing was sent.
 
-			return taken, nil
+			return accepted, nil
 		case Refused(err):
 			return refused, nil
 		default:
-			return none, nil
+			return noAnswer, nil
 		}
 	})
-	o, _ := v.(answer)
+	o, _ := v.(result)
 
 	return o
 }
--- a/internal/prober/prober_test.go
+++ b/internal/prober/prober_test.go
@@ -29,7 +29,7 @@
 	return l, l.Addr().(*net.TCPAddr).AddrPort()
 }
 
-func TestOnlyARefusalIsAnEnd(t *testing.T) {
+func TestOnlyRefusalIsCrash(t *testing.T) {
 	d := (&net.Dialer{}).DialContext
 
 	_, near := listen(t)
@@ -41,14 +41,14 @@
 		others []netip.AddrPort
 		want   bool
 	}{
-		"it listens":            {dial: d},
-		"it and others listen":  {dial: d, others: []netip.AddrPort{near}},
-		"nobody listens":        {dial: d, close: true, want: true},
-		"but at another":        {dial: d, close: true, others: []netip.AddrPort{near}, want: true},
-		"but at one of two":     {dial: d, close: true, others: []netip.AddrPort{gone, near}, want: true},
-		"a cut that refuses":    {dial: d, close: true, others: []netip.AddrPort{gone}},
-		"the dial's time is up": {dial: func(context.Context, string, string) (net.Conn, error) { return nil, context.DeadlineExceeded }},
-		"there is no way":       {dial: func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("no route") }},
+		"listens":            {dial: d},
+		"all listen":         {dial: d, others: []netip.AddrPort{near}},
+		"refuses":            {dial: d, close: true, want: true},
+		"other listens":      {dial: d, close: true, others: []netip.AddrPort{near}, want: true},
+		"one of two listens": {dial: d, close: true, others: []netip.AddrPort{gone, near}, want: true},
+		"refusing partition": {dial: d, close: true, others: []netip.AddrPort{gone}},
+		"dial times out":     {dial: func(context.Context, string, string) (net.Conn, error) { return nil, context.DeadlineExceeded }},
+		"no route":           {dial: func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("no route") }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, a := listen(t)
@@ -56,14 +56,14 @@
 				a = porter.Refusing(t)
 			}
 
-			is.New(t).Equal(prober.New(x.dial).Ended(t.Context(), a, x.others), x.want)
+			is.New(t).Equal(prober.New(x.dial).Crashed(t.Context(), a, x.others), x.want)
 		})
 	}
 }
 
-// A target ends with thirty calls in flight. One dial is enough for all of them, and it goes on
-// when the caller that made it leaves.
-func TestCallsThatBrokeTogetherAskOnce(t *testing.T) {
+// Guards against a dial for each broken call: a target crashes with thirty calls in flight. One dial serves
+// all of them, and it goes on when the caller that made it disconnects.
+func TestConcurrentCallsShareOneDial(t *testing.T) {
 	is := is.New(t)
 	a := porter.Refusing(t)
 
@@ -83,7 +83,7 @@
 
 	for range 30 {
 		g.Go(func() {
-			if p.Ended(c, a, nil) {
+			if p.Crashed(c, a, nil) {
 				ended.Add(1)
 			}
 		})
--- a/internal/relayer/relayer.go
+++ b/internal/relayer/relayer.go
@@ -1,8 +1,9 @@
-// Package relayer decides whom an instance tells a long answer itself, and whom it sends on to those that have
-// it already.
+// Package relayer decides which requesters of a long answer an instance serves itself, and which it
+// redirects to instances that already have the answer.
 //
-// The load that it answers: all instances of a data centre wait at one for the same change, and its link takes
-// longer for all the copies than the change may take. Each that was told tells some others in turn.
+// It exists for the case that all instances of a data centre wait at one instance for the same change:
+// sending every copy over the link of that instance takes longer than the change may take. Each instance
+// that was served serves some of the others.
 package relayer
 
 import (
@@ -11,57 +12,60 @@
 	"time"
 )
 
-// LongFrom is the length of an answer in bytes from which it is long: a thin link takes over ten milliseconds
-// for it.
-const LongFrom = 16 << 10
+// LongBytes is the length in bytes from which an answer counts as long: a narrow-bandwidth link needs over
+// ten milliseconds for it.
+const LongBytes = 16 << 10
 
-// Settings are the bounds of a Relayer.
+// Settings configures a Relayer.
 type Settings struct {
-	// Rate is what the instance's link carries, in bytes a second.
+	// Rate is the bandwidth of the instance's link in bytes a second.
 	Rate float64
-	// Most is for how long the link may be taken by what is told already when one more is told.
-	Most time.Duration
+	// MaxBacklog is how long the answers already sent may still occupy the link when another requester is served.
+	MaxBacklog time.Duration
 }
 
-// Relayer decides for one stream. It is not safe for concurrent use.
+// Relayer decides for the requesters of one stream. It is not safe for concurrent use.
 type Relayer struct {
 	settings Settings
-	// next is the offset up to which those in told have been told.
-	next int64
-	told []netip.AddrPort
-	turn int
-	// free is when the link has carried what was told.
-	free time.Time
+	// next is the offset up to which the instances in served have the stream.
+	next      int64
+	served    []netip.AddrPort
+	redirects int
+	// linkFree is when the link has carried all answers sent so far.
+	linkFree time.Time
 }
 
-// New returns a Relayer that has told nobody.
+// New returns a Relayer that has served no requester.
 func New(s Settings) *Relayer {
 	return &Relayer{settings: s}
 }
 
-// Tell says whether an instance is to be told an answer of a length in bytes that goes up to an offset; if
-// not, it returns one that was told. With must, it is told in any case: others wait for what it is told.
-func (r *Relayer) Tell(now time.Time, next int64, bytes int, to netip.AddrPort, must bool) (netip.AddrPort, bool) {
+// ServeOrRedirect reports whether a requester is to be served here. The answer has the given length in bytes and
+// reaches up to the offset next. If the result is false, the address is that of an instance that has the
+// answer. With must set the requester is always served: other instances wait for what it receives.
+//
+// A requester with an invalid address is never a destination of redirects.
+func (r *Relayer) ServeOrRedirect(now time.Time, next int64, bytes int, to netip.AddrPort, must bool) (netip.AddrPort, bool) {
 	if r.next != next {
-		r.next, r.told, r.turn = next, nil, 0
+		r.next, r.served, r.redirects = next, nil, 0
 	}
 
-	if r.free.Before(now) {
-		r.free = now
+	if r.linkFree.Before(now) {
+		r.linkFree = now
 	}
 
-	again := slices.Contains(r.told, to)
-	if !must && !again && len(r.told) > 0 && r.free.Sub(now) >= r.settings.Most {
-		r.turn++
+	again := slices.Contains(r.served, to)
+	if !must && !again && len(r.served) > 0 && r.linkFree.Sub(now) >= r.settings.MaxBacklog {
+		r.redirects++
 
-		return r.told[r.turn%len(r.told)], false
+		return r.served[r.redirects%len(r.served)], false
 	}
 
 	if !again && to.IsValid() {
-		r.told = append(r.told, to)
+		r.served = append(r.served, to)
 	}
 
-	r.free = r.free.Add(time.Duration(float64(bytes) / r.settings.Rate * float64(time.Second)))
+	r.linkFree = r.linkFree.Add(time.Duration(float64(bytes) / r.settings.Rate * float64(time.Second)))
 
 	return netip.AddrPort{}, true
 }
--- a/internal/relayer/relayer_test.go
+++ b/internal/relayer/relayer_test.go
@@ -10,9 +10,10 @@
 	"github.com/auburntray/auburntray/internal/relayer"
 )
 
-// Guards against one instance that tells all others: its link takes longer for it than the change may take.
-// The load: all of a data centre wait for a configuration of a hundred kilobytes over links of 10 Mbit/s.
-func TestReplayOfAllWhoWaitForOne(t *testing.T) {
+// Guards against an instance that sends a change to all others itself: its link is busy for longer than the
+// change may take. All instances of a data centre wait for a configuration of 100 KB over links of 10
+// Mbit/s.
+func TestReplayOfAllInstancesWaitingAtOne(t *testing.T) {
 	const (
 		rate  = 1.25e6
 		bytes = 100_000
@@ -23,12 +24,12 @@
 		waiting int
 		within  time.Duration
 	}{
-		"one":            {1, 100 * time.Millisecond},
-		"a few":          {4, 400 * time.Millisecond},
-		"27, a third":    {27, 900 * time.Millisecond},
-		"50, at most":    {50, time.Second},
-		"380 in one":     {380, 1300 * time.Millisecond},
-		"3800, ten-fold": {3800, 1800 * time.Millisecond},
+		"one":             {1, 100 * time.Millisecond},
+		"four":            {4, 400 * time.Millisecond},
+		"27, one third":   {27, 900 * time.Millisecond},
+		"50, maximum":     {50, time.Second},
+		"380, one centre": {380, 1300 * time.Millisecond},
+		"3800, tenfold":   {3800, 1800 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
@@ -44,7 +45,7 @@
 
 			for n := range relayers {
 				number[address(n)] = n
-				relayers[n] = relayer.New(relayer.Settings{Rate: rate, Most: most})
+				relayers[n] = relayer.New(relayer.Settings{Rate: rate, MaxBacklog: most})
 			}
 
 			has[0] = b
@@ -58,7 +59,7 @@
 						at = has[from]
 					}
 
-					e, ok := relayers[from].Tell(at, 1, bytes, address(n), false)
+					e, ok := relayers[from].ServeOrRedirect(at, 1, bytes, address(n), false)
 					if ok {
 						break
 					}
@@ -83,8 +84,8 @@
 	}
 }
 
-// Guards against an instance that is sent on for ever, or to itself.
-func TestWhoIsToldInAnyCase(t *testing.T) {
+// Guards against a requester that is redirected for ever, or to itself.
+func TestServedOrRedirected(t *testing.T) {
 	a, b, c := netip.MustParseAddrPort("10.0.0.1:1"), netip.MustParseAddrPort("10.0.0.2:1"), netip.MustParseAddrPort("10.0.0.3:1")
 	n := time.Now()
 
@@ -94,20 +95,20 @@
 		must bool
 		want netip.AddrPort
 	}{
-		"one that was told and asks again": {to: a, next: 1},
-		"one for whom others wait":         {to: b, next: 1, must: true},
-		"the first to ask for what is new": {to: b, next: 2},
-		"another":                          {to: c, next: 1, want: a},
-		"one that is not known":            {next: 1, want: a},
+		"already served, repeats the request": {to: a, next: 1},
+		"others wait for it":                  {to: b, next: 1, must: true},
+		"first requester of a new offset":     {to: b, next: 2},
+		"another requester":                   {to: c, next: 1, want: a},
+		"unknown address":                     {next: 1, want: a},
 	} {
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
-			r := relayer.New(relayer.Settings{Rate: 1000, Most: time.Second})
+			r := relayer.New(relayer.Settings{Rate: 1000, MaxBacklog: time.Second})
 
-			_, ok := r.Tell(n, 1, 1000, a, false)
+			_, ok := r.ServeOrRedirect(n, 1, 1000, a, false)
 			i.True(ok)
 
-			e, ok := r.Tell(n, x.next, 1000, x.to, x.must)
+			e, ok := r.ServeOrRedirect(n, x.next, 1000, x.to, x.must)
 			i.Equal(e, x.want)
 			i.Equal(ok, !x.want.IsValid())
 		})
--- a/internal/repeater/answer.go
+++ b/internal/repeater/answer.go
@@ -93,14 +93,14 @@
 // records.
 func (s *Stream) redirect(p *wire.StreamReply, requester uint64, from int64) *wire.StreamReply {
 	n := recordBytes(p)
-	if n < relayer.LongFrom || from < 0 {
+	if n < relayer.LongBytes || from < 0 {
 		return p
 	}
 
 	a, far := s.locate(requester)
 
 	s.mu.Lock()
-	e, ok := s.relayer.Tell(time.Now(), p.Next, n, a, far)
+	e, ok := s.relayer.ServeOrRedirect(time.Now(), p.Next, n, a, far)
 	s.mu.Unlock()
 
 	if ok {
--- a/internal/repeater/peers.go
+++ b/internal/repeater/peers.go
@@ -19,7 +19,7 @@
 // none, the one most recently confirmed by the platform. It fails with ErrPeer.
 func (s *Stream) requestPeers(c context.Context, from int64) (*wire.StreamReply, error) {
 	// The deadline is independent of the caller's, which the platform may have used up.
-	x, stop := extender.New(context.WithoutCancel(c), extender.Arriving(peerTimeout))
+	x, stop := extender.New(context.WithoutCancel(c), extender.DefaultSettings(peerTimeout))
 	defer stop()
 
 	l := s.randomPeers()
@@ -97,8 +97,8 @@
 		d = wait + peerSlack
 	}
 
-	u := extender.Arriving(d)
-	u.Came = s.noteArrival
+	u := extender.DefaultSettings(d)
+	u.OnExtend = s.noteArrival
 
 	x, stop := extender.New(c, u)
 	defer stop()
@@ -114,7 +114,7 @@
 	y := time.Duration(p.ComingMs) * time.Millisecond
 	s.setLastArrival(time.Now().Add(-y))
 
-	if time.Duration(p.AgeMs)*time.Millisecond > stale && y >= extender.SilentAfter {
+	if time.Duration(p.AgeMs)*time.Millisecond > stale && y >= extender.IdleTimeout {
 		return nil, errors.Mark(errors.Newf("the records of %v were last confirmed by the platform %d ms ago", m.Address, p.AgeMs), errStale)
 	}
 
--- a/internal/repeater/repeater.go
+++ b/internal/repeater/repeater.go
@@ -135,7 +135,7 @@
 func (r *Repeater) AddStream(name string, s watcher.Source, waitBudget time.Duration) *Stream {
 	x := &Stream{
 		name: name, repeater: r, source: s, waitBudget: waitBudget, cache: newCache(), changed: make(chan struct{}),
-		relayer: relayer.New(relayer.Settings{Rate: r.rate, Most: maxLinkQueue}),
+		relayer: relayer.New(relayer.Settings{Rate: r.rate, MaxBacklog: maxLinkQueue}),
 	}
 	r.streams[name] = x
 
--- a/internal/repeater/stream.go
+++ b/internal/repeater/stream.go
@@ -91,7 +91,7 @@
 	}
 
 	b := time.Now()
-	y, stop := extender.New(c, extender.Settings{Came: s.noteArrival})
+	y, stop := extender.New(c, extender.Settings{OnExtend: s.noteArrival})
 
 	defer stop()
 
--- a/internal/warner/client.go
+++ b/internal/replicator/client.go
@@ -1,4 +1,4 @@
-package warner
+package replicator
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"github.com/auburntray/auburntray/internal/wire"
 )
 
-// Client asks an instance on behalf of an operator. It is safe for concurrent use.
+// Client sends requests to an instance on behalf of an operator. It is safe for concurrent use.
 type Client struct {
 	messenger Messenger
 	address   netip.AddrPort
@@ -21,8 +21,8 @@
 	return &Client{messenger: m, address: a}
 }
 
-// Records returns the calls under which two targets or more have ended since they were served
-// last, at most 64, those with most ends first. It fails as a Messenger does.
+// Records returns the calls under which at least two targets have crashed since the call was last served:
+// at most 64, those with the most crashes first. It fails as Messenger.Call does.
 func (k *Client) Records(c context.Context) ([]quarantiner.Record, error) {
 	var r wire.Suspects
 	if err := k.messenger.Call(c, k.address, wire.KindSuspectsRequest, &wire.SuspectsRequest{}, &r); err != nil {
@@ -32,8 +32,8 @@
 	return decode(time.Now(), &r), nil
 }
 
-// Release releases calls, or all that are held back, and returns those that were. It fails as a
-// Messenger does; the calls may then be released all the same.
+// Release releases the given calls, or all quarantined calls, and returns those that were released. It
+// fails as Messenger.Call does; the calls may have been released nevertheless.
 func (k *Client) Release(c context.Context, l []digester.Digest, all bool) ([]digester.Digest, error) {
 	q := wire.ReleaseRequest{All: all}
 	for _, d := range l {
--- /dev/null
+++ b/internal/replicator/message.go
@@ -0,0 +1,190 @@
+package replicator
+
+import (
+	"context"
+	"net/netip"
+	"time"
+
+	"github.com/cockroachdb/errors"
+	"github.com/sirupsen/logrus"
+	"github.com/tinylib/msgp/msgp"
+
+	"github.com/auburntray/auburntray/internal/digester"
+	"github.com/auburntray/auburntray/internal/discoverer"
+	"github.com/auburntray/auburntray/internal/gossiper"
+	"github.com/auburntray/auburntray/internal/messenger"
+	"github.com/auburntray/auburntray/internal/quarantiner"
+	"github.com/auburntray/auburntray/internal/wire"
+)
+
+// ErrSuspects marks a message that cannot be decoded.
+var ErrSuspects = errors.New("invalid message on suspected calls")
+
+// syncTimeout bounds an exchange with a peer: one in another region answers within a few hundred
+// milliseconds.
+const syncTimeout = 500 * time.Millisecond
+
+// Messenger exchanges messages with other instances.
+type Messenger interface {
+	Call(c context.Context, a netip.AddrPort, k wire.Kind, q msgp.Marshaler, r msgp.Unmarshaler) error
+	Send(c context.Context, a netip.AddrPort, k wire.Kind, m msgp.Marshaler) error
+}
+
+// Register installs the handlers for requests and notifications of other instances. It must be called
+// before the messenger serves.
+func (w *Replicator) Register(m *messenger.Messenger) {
+	m.Handle(wire.KindSuspects, w.HandleUpdate)
+	m.Handle(wire.KindSuspectsRelay, w.HandleRelay)
+	m.Handle(wire.KindSuspectsRequest, w.HandleRequest)
+	m.Handle(wire.KindTrial, w.HandleTrial)
+	m.Handle(wire.KindReleaseRequest, w.HandleRelease)
+}
+
+// HandleUpdate merges the records sent by another instance. It fails with ErrSuspects.
+func (w *Replicator) HandleUpdate(_ context.Context, _ uint64, body []byte) (msgp.Marshaler, error) {
+	var m wire.Suspects
+	if _, err := m.UnmarshalMsg(body); err != nil {
+		return nil, errors.Mark(err, ErrSuspects)
+	}
+
+	w.merge(&m)
+
+	return nil, nil //nolint:nilnil // Without reply.
+}
+
+// HandleRelay merges the records sent by an instance of another data centre and forwards them in the own one.
+// It fails with ErrSuspects if the message cannot be decoded, and does not forward it then.
+func (w *Replicator) HandleRelay(c context.Context, from uint64, body []byte) (msgp.Marshaler, error) {
+	if _, err := w.HandleUpdate(c, from, body); err != nil {
+		return nil, err
+	}
+
+	// The connection on which it arrived may close before all are notified.
+	w.broadcaster.Local(context.WithoutCancel(c), kinds, msgp.Raw(body))
+
+	return nil, nil //nolint:nilnil // Without reply.
+}
+
+// HandleRequest answers with all records, or with none if the requester has the same state. It fails with
+// ErrSuspects.
+func (w *Replicator) HandleRequest(_ context.Context, _ uint64, body []byte) (msgp.Marshaler, error) {
+	var q wire.SuspectsRequest
+	if _, err := q.UnmarshalMsg(body); err != nil {
+		return nil, errors.Mark(err, ErrSuspects)
+	}
+
+	w.mu.Lock()
+	defer w.mu.Unlock()
+
+	if q.State == w.quarantiner.Fingerprint() {
+		return &wire.Suspects{State: q.State, Informed: w.synced}, nil
+	}
+
+	return w.snapshot(), nil
+}
+
+// snapshot returns the records that every instance should have. The caller holds the lock.
+func (w *Replicator) snapshot() *wire.Suspects {
+	m := encode(time.Now(), w.quarantiner.Records(maxRecords))
+	m.State, m.Informed = w.quarantiner.Fingerprint(), w.synced
+
+	return m
+}
+
+// reply returns what the sender of a response may lack, including the records of the calls that the
+// response names, which may have been served since.
+func (w *Replicator) reply(r *wire.Suspects) *wire.Suspects {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+
+	o := w.snapshot()
+
+	var l []digester.Digest
+
+	for _, s := range r.Calls {
+		l = append(l, digester.Digest(s.Call))
+	}
+
+	o.Calls = append(o.Calls, encode(time.Now(), w.quarantiner.RecordsOf(l)).Calls...)
+
+	return o
+}
+
+// syncWith requests all records of another instance and sends it those that it lacks. It returns the time
+// until the next exchange and whether the instance answered. New records are forwarded in the own data
+// centre, whose instances are likely to have missed them too.
+func (w *Replicator) syncWith(c context.Context, m gossiper.Member) (next time.Duration, ok bool) {
+	x, stop := context.WithTimeout(c, syncTimeout)
+	defer stop()
+
+	w.mu.Lock()
+	q := wire.SuspectsRequest{State: w.quarantiner.Fingerprint()}
+	w.mu.Unlock()
+
+	var r wire.Suspects
+	if err := w.messenger.Call(x, m.Address, wire.KindSuspectsRequest, &q, &r); err != nil {
+		logrus.WithFields(logrus.Fields{"event": "suspectsUnanswered", "peer": m.Address, "error": err}).Debug()
+
+		return syncInterval, false
+	}
+
+	next = syncInterval
+
+	if w.merge(&r) {
+		w.broadcaster.Local(c, kinds, &r)
+	} else if len(r.Calls) >= maxRecords {
+		// There are more records than a message holds, and this response contained nothing new.
+		next = fullSyncInterval
+	}
+
+	a := w.reply(&r)
+	if a.State == r.State {
+		return syncInterval, true
+	}
+
+	if err := w.messenger.Send(x, m.Address, wire.KindSuspects, a); err != nil {
+		logrus.WithFields(logrus.Fields{"event": "suspectsUntold", "peer": m.Address, "error": err}).Debug()
+	}
+
+	return next, true
+}
+
+// encode converts records to a message, with ages instead of times because the clocks of instances differ.
+func encode(now time.Time, l []quarantiner.Record) *wire.Suspects {
+	o := &wire.Suspects{}
+
+	for _, r := range l {
+		s := wire.Suspect{Call: uint64(r.Call), SeenMs: age(now, r.LastSeen)}
+		for _, e := range r.Crashes {
+			s.Ends = append(s.Ends, wire.SuspectEnd{Target: uint32(e.Process), AgeMs: age(now, e.At), Excused: e.Cleared, Known: e.ServedBefore})
+		}
+
+		o.Calls = append(o.Calls, s)
+	}
+
+	return o
+}
+
+// decode is the inverse of encode; it subtracts the ages from the present time.
+func decode(now time.Time, m *wire.Suspects) []quarantiner.Record {
+	var o []quarantiner.Record
+
+	for _, s := range m.Calls {
+		r := quarantiner.Record{Call: digester.Digest(s.Call), LastSeen: before(now, s.SeenMs)}
+		for _, e := range s.Ends {
+			r.Crashes = append(r.Crashes, quarantiner.Crash{Process: discoverer.Name(e.Target), At: before(now, e.AgeMs), Cleared: e.Excused, ServedBefore: e.Known})
+		}
+
+		o = append(o, r)
+	}
+
+	return o
+}
+
+func age(now, t time.Time) uint32 {
+	return uint32(max(now.Sub(t).Milliseconds(), 0)) //nolint:gosec // Records expire long before the overflow.
+}
+
+func before(now time.Time, ms uint32) time.Time {
+	return now.Add(-time.Duration(ms) * time.Millisecond)
+}
--- /dev/null
+++ b/internal/replicator/replicator_test.go
@@ -0,0 +1,318 @@
+package replicator_test
+
+import (
+	"context"
+	"net/netip"
+	"slices"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/cockroachdb/errors"
+	"github.com/matryer/is"
+	"github.com/sirupsen/logrus"
+	"github.com/tinylib/msgp/msgp"
+
+	"github.com/auburntray/auburntray/internal/digester"
+	"github.com/auburntray/auburntray/internal/discoverer"
+	"github.com/auburntray/auburntray/internal/gossiper"
+	"github.com/auburntray/auburntray/internal/quarantiner"
+	"github.com/auburntray/auburntray/internal/replicator"
+	"github.com/auburntray/auburntray/internal/wire"
+)
+
+const (
+	call = digester.Digest(7)
+	// broadcastTime is the time within which a broadcast has reached all instances.
+	broadcastTime = 50 * time.Millisecond
+	// bound is the required time within which every instance must have a record.
+	bound = 3 * time.Second
+)
+
+// fleet connects instances without a network.
+type fleet struct {
+	members   []gossiper.Member
+	instances []*replicator.Replicator
+
+	mu sync.Mutex
+	// cut are the instances that are partitioned from all others.
+	cut map[int]bool
+	// bytes counts what the instances sent.
+	bytes int
+}
+
+// view is the fleet as seen by one instance.
+type view struct {
+	*fleet
+
+	number int
+}
+
+func (v view) Live() []gossiper.Member { return v.members }
+func (v view) Self() gossiper.Member   { return v.members[v.number] }
+
+func (v view) deliver(c context.Context, a netip.AddrPort, k wire.Kind, m msgp.Marshaler) (msgp.Marshaler, error) {
+	n := slices.IndexFunc(v.members, func(m gossiper.Member) bool { return m.Address == a })
+
+	b, err := m.MarshalMsg(nil)
+	if err != nil {
+		return nil, err
+	}
+
+	v.mu.Lock()
+	v.bytes += len(b)
+	cut := v.cut[n] || v.cut[v.number]
+	v.mu.Unlock()
+
+	if cut {
+		return nil, errors.New("cut off")
+	}
+
+	x := v.instances[n]
+
+	switch k {
+	case wire.KindSuspects:
+		return x.HandleUpdate(c, v.Self().ID, b)
+	case wire.KindSuspectsRelay:
+		return x.HandleRelay(c, v.Self().ID, b)
+	case wire.KindTrial:
+		return x.HandleTrial(c, v.Self().ID, b)
+	default:
+		return x.HandleRequest(c, v.Self().ID, b)
+	}
+}
+
+func (v view) Send(c context.Context, a netip.AddrPort, k wire.Kind, m msgp.Marshaler) error {
+	_, err := v.deliver(c, a, k, m)
+
+	return err
+}
+
+func (v view) Call(c context.Context, a netip.AddrPort, k wire.Kind, q msgp.Marshaler, r msgp.Unmarshaler) error {
+	m, err := v.deliver(c, a, k, q)
+	if err != nil {
+		return err
+	}
+
+	b, err := m.MarshalMsg(nil)
+	if err != nil {
+		return err
+	}
+
+	v.mu.Lock()
+	v.bytes += len(b)
+	v.mu.Unlock()
+
+	_, err = r.UnmarshalMsg(b)
+
+	return err
+}
+
+// start starts n instances in four data centres.
+func start(t *testing.T, n int) *fleet {
+	t.Helper()
+
+	return startWith(t, n, nil)
+}
+
+// startWith starts n instances in four data centres with a store.
+func startWith(t *testing.T, n int, s replicator.Store) *fleet {
+	t.Helper()
+	logrus.SetLevel(logrus.PanicLevel)
+
+	f := &fleet{cut: make(map[int]bool)}
+
+	for i := range n {
+		f.members = append(f.members, gossiper.Member{
+			ID: uint64(i + 1), DataCentre: string(rune('a' + i%4)),
+			Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i / 200), byte(i % 200)}), 1),
+		})
+		f.instances = append(f.instances, replicator.New(view{f, i}, view{f, i}, s, quarantiner.DefaultSettings()))
+	}
+
+	c, stop := context.WithCancel(t.Context())
+	for _, w := range f.instances {
+		go w.Run(c)
+	}
+
+	t.Cleanup(func() {
+		stop()
+		synctest.Wait()
+	})
+
+	return f
+}
+
+// crash records crashes of targets under the call at an instance, one each 100 ms.
+func (f *fleet) crash(instance, crashes int) {
+	for i := range crashes {
+		f.instances[instance].RecordCrash(call, discoverer.Name(10*instance+i))
+		time.Sleep(100 * time.Millisecond)
+	}
+}
+
+// quarantined counts the instances at which the call is quarantined.
+func (f *fleet) quarantined() (o int) {
+	for _, w := range f.instances {
+		if w.Check(call).Status == quarantiner.Quarantined {
+			o++
+		}
+	}
+
+	return o
+}
+
+func (f *fleet) setCut(cut bool, l ...int) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+
+	for _, i := range l {
+		f.cut[i] = cut
+	}
+}
+
+// Guards against a pattern that no single instance sees: a call crashes one target each at three instances,
+// and arrives at a fourth. All instances know immediately that there were three crashes.
+func TestRecordsAreBroadcast(t *testing.T) {
+	for name, n := range map[string]int{"six instances": 6, "three hundred instances": 300} {
+		t.Run(name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				is := is.New(t)
+				f := start(t, n)
+				time.Sleep(time.Second)
+
+				for i := range 3 {
+					f.crash(i, 1)
+				}
+
+				is.Equal(f.quarantined(), n)
+
+				// Once it is served at one instance, it is free everywhere.
+				f.instances[4].RecordServed(call)
+				time.Sleep(broadcastTime)
+				is.Equal(f.quarantined(), 0)
+			})
+		})
+	}
+}
+
+// Guards against records missed during a network partition. An instance that was cut off while a call
+// crashed three targets elsewhere must have the record within the required bound, as one that has just
+// started; and one that was cut off and detected the crashes must notify the others.
+func TestMissedRecordsAreRepaired(t *testing.T) {
+	for name, x := range map[string]struct{ cut int }{
+		"cut off during the crashes": {cut: 5},
+		"cut off, detects crashes":   {cut: 0},
+	} {
+		t.Run(name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				is := is.New(t)
+				f := start(t, 6)
+				f.setCut(true, x.cut)
+				f.crash(0, 3)
+				is.True(f.quarantined() < 6)
+
+				f.setCut(false, x.cut)
+				time.Sleep(bound)
+				is.Equal(f.quarantined(), 6)
+			})
+		})
+	}
+}
+
+// Guards against a lost notification that a call was served: a quarantined call is served by an instance
+// that was cut off and had no record of it. All instances clear it when they reach that one again.
+func TestClearedCallReachesAll(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		is := is.New(t)
+		f := start(t, 6)
+		f.crash(0, 3)
+		is.Equal(f.quarantined(), 6)
+
+		f.setCut(true, 5)
+		f.instances[5].RecordServed(call)
+		time.Sleep(time.Second)
+		is.Equal(f.quarantined(), 5)
+
+		f.setCut(false, 5)
+		time.Sleep(bound)
+		is.Equal(f.quarantined(), 0)
+	})
+}
+
+// Guards against control traffic when no target crashes: instances only exchange fingerprints of equal
+// states.
+func TestIdleTraffic(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		is := is.New(t)
+		f := start(t, 6)
+		time.Sleep(time.Second)
+
+		f.mu.Lock()
+		f.bytes = 0
+		f.mu.Unlock()
+
+		const seconds = 100
+
+		time.Sleep(seconds * time.Second)
+
+		f.mu.Lock()
+		defer f.mu.Unlock()
+
+		// Bytes per second and instance; all control traffic may take 9,000.
+		is.True(f.bytes/seconds/len(f.members) <= 50)
+	})
+}
+
+// Guards against instances that keep sending each other the same records: a caller sends ever new calls
+// that crash targets, and there are more records than a message holds.
+func TestMoreRecordsThanAMessageHolds(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		is := is.New(t)
+		f := start(t, 12)
+		time.Sleep(time.Second)
+
+		for i, w := range f.instances {
+			for n := range 100 {
+				d := digester.Digest(1000*i + n)
+
+				f.setCut(true, i) // No other instance is notified.
+				w.RecordCrash(d, 1)
+				w.RecordCrash(d, 2)
+			}
+
+			time.Sleep(50 * time.Millisecond)
+			f.setCut(false, i)
+		}
+
+		time.Sleep(time.Minute)
+
+		f.mu.Lock()
+		f.bytes = 0
+		f.mu.Unlock()
+
+		const seconds = 100
+
+		time.Sleep(seconds * time.Second)
+
+		f.mu.Lock()
+		defer f.mu.Unlock()
+
+		// Bytes per second and instance that all control traffic may take.
+		is.True(f.bytes/seconds/len(f.members) <= 9000)
+	})
+}
+
+func TestInvalidMessages(t *testing.T) {
+	w := replicator.New(view{}, view{}, nil, quarantiner.DefaultSettings())
+
+	for name, x := range map[string]func(context.Context, uint64, []byte) (msgp.Marshaler, error){
+		"update": w.HandleUpdate, "relay": w.HandleRelay, "request": w.HandleRequest, "trial": w.HandleTrial, "release": w.HandleRelease,
+	} {
+		t.Run(name, func(t *testing.T) {
+			_, err := x(t.Context(), 1, []byte{0xc1})
+			is.New(t).True(errors.Is(err, replicator.ErrSuspects))
+		})
+	}
+}
--- /dev/null
+++ b/internal/replicator/store_test.go
@@ -0,0 +1,209 @@
+package replicator_test
+
+import (
+	"context"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/cockroachdb/errors"
+	"github.com/matryer/is"
+
+	"github.com/auburntray/auburntray/internal/extender"
+	"github.com/auburntray/auburntray/internal/quarantiner"
+	"github.com/auburntray/auburntray/internal/replicator"
+	"github.com/auburntray/auburntray/internal/watcher"
+	"github.com/auburntray/auburntray/internal/wire"
+)
+
+// memoryStore stores records in memory.
+type memoryStore struct {
+	mu          sync.Mutex
+	records     map[string][]byte
+	unavailable bool
+	reads       int
+	// readTime is how long the answer to a read is in transfer.
+	readTime time.Duration
+}
+
+func newMemoryStore() *memoryStore { return &memoryStore{records: make(map[string][]byte)} }
+
+func (s *memoryStore) Newest(c context.Context) ([]watcher.Record, int64, error) {
+	for d := time.Duration(0); d < s.readTime; d += 100 * time.Millisecond {
+		time.Sleep(100 * time.Millisecond)
+		extender.Extend(c)
+
+		if c.Err() != nil {
+			return nil, 0, c.Err()
+		}
+	}
+
+	s.mu.Lock()
+	defer s.mu.Unlock()
+
+	s.reads++
+
+	if s.unavailable {
+		return nil, 0, errors.New("unavailable")
+	}
+
+	var o []watcher.Record
+	for k, v := range s.records {
+		o = append(o, watcher.Record{Key: k, Value: v})
+	}
+
+	return o, 0, nil
+}
+
+func (s *memoryStore) Put(_ context.Context, key string, value []byte) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+
+	if s.unavailable {
+		return errors.New("unavailable")
+	}
+
+	if s.records[key] = value; value == nil {
+		delete(s.records, key)
+	}
+
+	return nil
+}
+
+func (s *memoryStore) setUnavailable(unavailable bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+
+	s.unavailable = unavailable
+}
+
+func (s *memoryStore) keys() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+
+	return len(s.records)
+}
+
+// Guards against a list of quarantined calls that is aborted while it arrives over a narrow-bandwidth link,
+// and read again from the beginning.
+func TestLongListOfQuarantinedCallsIsRead(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		i := is.New(t)
+		s := newMemoryStore()
+		s.readTime = 2 * time.Second
+
+		startWith(t, 1, s)
+		time.Sleep(3 * time.Second)
+
+		s.mu.Lock()
+		defer s.mu.Unlock()
+
+		i.Equal(s.reads, 1)
+	})
+}
+
+// Guards against the loss of quarantine records with all instances. All instances lose power after a call
+// has crashed three targets, and restart. The call keeps arriving, at several of them at once. Without
+// stored records it would crash three more targets, and at least one with each repeat.
+func TestRecordsSurviveRestartOfAllInstances(t *testing.T) {
+	for name, unavailable := range map[string]bool{"store available": false, "store unavailable during crashes and start": true} {
+		t.Run(name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				is := is.New(t)
+				s := newMemoryStore()
+				s.setUnavailable(unavailable)
+
+				f := startWith(t, 6, s)
+				time.Sleep(time.Second)
+				f.crash(0, 3)
+				time.Sleep(5 * time.Second)
+				s.setUnavailable(false)
+				time.Sleep(5 * time.Second)
+				is.Equal(s.keys(), 1)
+
+				s.setUnavailable(unavailable)
+
+				g := startWith(t, 6, s)
+				time.Sleep(bound)
+				s.setUnavailable(false)
+
+				if unavailable {
+					time.Sleep(bound)
+				}
+
+				is.Equal(g.quarantined(), 6)
+
+				// Once the call is served, its record is deleted.
+				g.instances[3].RecordServed(call)
+				time.Sleep(time.Second)
+				is.Equal(s.keys(), 0)
+			})
+		})
+	}
+}
+
+// Guards against a store that is flooded with requests: 300 instances start while it is unavailable. Each
+// reads once; after that a few retry, and notify the others when the store is back.
+func TestFewInstancesRetryUnavailableStore(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		is := is.New(t)
+		s := newMemoryStore()
+		s.setUnavailable(true)
+		startWith(t, 300, s)
+		time.Sleep(10 * time.Second)
+		s.setUnavailable(false)
+		time.Sleep(bound)
+
+		// The eleven instances with the lowest IDs have retried several times, the others once more.
+		is.True(s.reads <= 2*300+50)
+
+		b := s.reads
+
+		time.Sleep(time.Minute)
+		is.Equal(s.reads, b)
+	})
+}
+
+// Guards against invalid stored records: they are skipped, and expired ones are deleted.
+func TestStoredRecords(t *testing.T) {
+	valid := wire.Suspect{Call: uint64(call), Ends: []wire.SuspectEnd{{Target: 1, AgeMs: 2000}, {Target: 2, AgeMs: 1000}, {Target: 3}}}
+
+	encode := func(s wire.Suspect, written time.Time) []byte {
+		b, err := (&wire.ShelvedSuspect{Suspect: s, WrittenMs: written.UnixMilli()}).MarshalMsg(nil)
+		if err != nil {
+			t.Fatal(err)
+		}
+
+		return b
+	}
+
+	for name, x := range map[string]struct {
+		key         string
+		value       func(now time.Time) []byte
+		quarantined bool
+		kept        int
+	}{
+		"valid":               {call.String(), func(n time.Time) []byte { return encode(valid, n.Add(-time.Minute)) }, true, 1},
+		"clock ahead":         {call.String(), func(n time.Time) []byte { return encode(valid, n.Add(time.Minute)) }, true, 1},
+		"expired":             {call.String(), func(n time.Time) []byte { return encode(valid, n.Add(-5*time.Hour)) }, false, 0},
+		"not msgpack":         {call.String(), func(time.Time) []byte { return []byte{0xc1} }, false, 1},
+		"key of another call": {(call + 1).String(), func(n time.Time) []byte { return encode(valid, n) }, false, 1},
+		"empty":               {call.String(), func(time.Time) []byte { return []byte{} }, false, 1},
+	} {
+		t.Run(name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				is := is.New(t)
+				s := newMemoryStore()
+				s.records[x.key] = x.value(time.Now())
+
+				f := startWith(t, 1, s)
+				time.Sleep(bound)
+				is.Equal(f.instances[0].Check(call).Status == quarantiner.Quarantined, x.quarantined)
+				is.Equal(s.keys(), x.kept)
+			})
+		})
+	}
+}
+
+var _ replicator.Store = (*memoryStore)(nil)
--- /dev/null
+++ b/internal/replicator/trial.go
@@ -0,0 +1,183 @@
+package replicator
+
+import (
+	"context"
+	"time"
+
+	"github.com/cockroachdb/errors"
+	"github.com/sirupsen/logrus"
+	"github.com/tinylib/msgp/msgp"
+
+	"github.com/auburntray/auburntray/internal/digester"
+	"github.com/auburntray/auburntray/internal/gossiper"
+	"github.com/auburntray/auburntray/internal/hasher"
+	"github.com/auburntray/auburntray/internal/quarantiner"
+	"github.com/auburntray/auburntray/internal/sleeper"
+	"github.com/auburntray/auburntray/internal/wire"
+)
+
+const (
+	// homeTimeout bounds a request to the home (home node) of a call, the one instance responsible for it.
+	// An answer takes one or two milliseconds within a region. Without an answer a suspected call is sent:
+	// it may not be the cause of the crashes, and the data centre of its home may be cut off.
+	homeTimeout = 30 * time.Millisecond
+	// trialPollInterval is the interval between two requests while another trial of the call is running.
+	trialPollInterval = 50 * time.Millisecond
+	// maxTrialWait is the longest time that a suspected call waits for another trial of it, and
+	// trialWaitDivisor the divisor of the remaining time until its deadline that bounds the wait as well. A
+	// call that crashes targets does so within a few hundred milliseconds.
+	maxTrialWait     = time.Second
+	trialWaitDivisor = 3
+)
+
+// Admit reports whether a call with a deadline may be sent to a target. A suspected call waits while another
+// trial of it is running. The returned function must be called when the target has answered or crashed.
+func (w *Replicator) Admit(c context.Context, d digester.Digest, deadline time.Time) (quarantiner.Verdict, bool, func()) {
+	b := time.Now()
+	until := b.Add(min(maxTrialWait, deadline.Sub(b)/trialWaitDivisor))
+
+	for {
+		v := w.Check(d)
+		if v.Status == quarantiner.Free {
+			return v, true, func() {}
+		}
+
+		h := w.home(d)
+		if (v.Status == quarantiner.Suspected || v.TrialDue) && w.requestTrial(c, h, d, v) {
+			return v, true, func() { w.finishTrial(h, d) }
+		}
+
+		if v.Status == quarantiner.Quarantined || c.Err() != nil || time.Now().Add(trialPollInterval).After(until) {
+			return v, false, func() {}
+		}
+
+		sleeper.Sleep(c, trialPollInterval)
+	}
+}
+
+// home returns the live instance that is responsible for granting trials of a call: the highest by
+// rendezvous hashing.
+func (w *Replicator) home(d digester.Digest) gossiper.Member {
+	o := w.members.Self()
+	best := hasher.Mix(uint64(d), o.ID)
+
+	for _, m := range w.members.Live() {
+		if k := hasher.Mix(uint64(d), m.ID); k > best {
+			o, best = m, k
+		}
+	}
+
+	return o
+}
+
+// requestTrial requests from the home of a call that it may be sent, and reports whether it may.
+func (w *Replicator) requestTrial(c context.Context, h gossiper.Member, d digester.Digest, v quarantiner.Verdict) bool {
+	if h.ID == w.members.Self().ID {
+		return w.grantTrial(d)
+	}
+
+	x, stop := context.WithTimeout(c, homeTimeout)
+	defer stop()
+
+	var r wire.TrialReply
+	if err := w.messenger.Call(x, h.Address, wire.KindTrial, &wire.Trial{Call: uint64(d), Known: w.recordOf(d)}, &r); err != nil {
+		logrus.WithFields(logrus.Fields{"event": "trialUnanswered", "digest": d, "peer": h.Address, "error": err}).Debug()
+
+		// A quarantined call is only sent when its home grants the trial.
+		return v.Status == quarantiner.Suspected
+	}
+
+	w.merge(&r.Known)
+
+	return r.Granted
+}
+
+// recordOf returns the record of a call. It is part of requests, so that a home does not grant the next
+// trial before it knows that the last one crashed a target.
+func (w *Replicator) recordOf(d digester.Digest) wire.Suspects {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+
+	return *encode(time.Now(), w.quarantiner.RecordsOf([]digester.Digest{d}))
+}
+
+// finishTrial notifies the home of a call that a trial is over.
+func (w *Replicator) finishTrial(h gossiper.Member, d digester.Digest) {
+	if h.ID == w.members.Self().ID {
+		w.endTrial(d)
+
+		return
+	}
+
+	x, stop := context.WithTimeout(context.Background(), homeTimeout)
+	defer stop()
+
+	if err := w.messenger.Send(x, h.Address, wire.KindTrial, &wire.Trial{Call: uint64(d), Over: true, Known: w.recordOf(d)}); err != nil {
+		logrus.WithFields(logrus.Fields{"event": "trialUntold", "digest": d, "peer": h.Address, "error": err}).Debug()
+	}
+}
+
+func (w *Replicator) grantTrial(d digester.Digest) bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+
+	n := time.Now()
+
+	return w.trials.Begin(n, w.quarantiner.Check(n, d), d)
+}
+
+func (w *Replicator) endTrial(d digester.Digest) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+
+	w.trials.End(d)
+}
+
+// HandleTrial handles a request for a trial, or the notification that one is over. It fails with ErrSuspects.
+func (w *Replicator) HandleTrial(_ context.Context, _ uint64, body []byte) (msgp.Marshaler, error) {
+	var q wire.Trial
+	if _, err := q.UnmarshalMsg(body); err != nil {
+		return nil, errors.Mark(err, ErrSuspects)
+	}
+
+	d := digester.Digest(q.Call)
+	w.merge(&q.Known)
+
+	if q.Over {
+		w.endTrial(d)
+
+		return nil, nil //nolint:nilnil // Without reply.
+	}
+
+	return &wire.TrialReply{Granted: w.grantTrial(d), Known: w.recordOf(d)}, nil
+}
+
+// HandleRelease handles the request of an operator to release quarantined calls: they are treated as if they had
+// been served. It fails with ErrSuspects.
+func (w *Replicator) HandleRelease(_ context.Context, _ uint64, body []byte) (msgp.Marshaler, error) {
+	var q wire.ReleaseRequest
+	if _, err := q.UnmarshalMsg(body); err != nil {
+		return nil, errors.Mark(err, ErrSuspects)
+	}
+
+	l := q.Calls
+
+	if q.All {
+		w.mu.Lock()
+		for _, d := range w.quarantiner.Quarantined() {
+			l = append(l, uint64(d))
+		}
+		w.mu.Unlock()
+	}
+
+	var r wire.ReleaseReply
+
+	for _, d := range l {
+		if w.clearCrashes(digester.Digest(d)) {
+			r.Calls = append(r.Calls, d)
+			logrus.WithFields(logrus.Fields{"event": "callReleased", "digest": digester.Digest(d)}).Warn()
+		}
+	}
+
+	return &r, nil
+}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -29,10 +29,10 @@
 	"github.com/auburntray/auburntray/internal/recorder"
 	"github.com/auburntray/auburntray/internal/recoverer"
 	"github.com/auburntray/auburntray/internal/registrar"
+	"github.com/auburntray/auburntray/internal/replicator"
 	"github.com/auburntray/auburntray/internal/resolver"
 	"github.com/auburntray/auburntray/internal/sender"
 	"github.com/auburntray/auburntray/internal/supervisor"
-	"github.com/auburntray/auburntray/internal/warner"
 )
 
 // ErrStart marks errors of components that fail to start.
@@ -49,7 +49,7 @@
 	messenger  *messenger.Messenger
 	recorder   *recorder.Recorder
 	pipeline   *filterer.Pipeline
-	replicator *warner.Warner
+	replicator *replicator.Replicator
 	drainer    *drainer.Drainer
 	counter    *counter.Counter
 	stalls     *stallMonitor
@@ -169,12 +169,12 @@
 // newReplicator returns the component that shares quarantined calls between the routers. They
 // are not stored, so after a restart of all routers a quarantined call crashes three more
 // targets before it is quarantined again.
-func newReplicator(m *messenger.Messenger, j *joiner.Joiner) *warner.Warner {
-	return warner.New(m, j, nil, quarantiner.DefaultSettings())
+func newReplicator(m *messenger.Messenger, j *joiner.Joiner) *replicator.Replicator {
+	return replicator.New(m, j, nil, quarantiner.DefaultSettings())
 }
 
 func newPipeline(s resolver.Router, t trace.Tracer, d *drainer.Drainer, f *follower.Follower, a *asker.Asker,
-	g *registrar.Registrar, x *sender.Sender, n *counter.Counter, p *stallMonitor, q *warner.Warner,
+	g *registrar.Registrar, x *sender.Sender, n *counter.Counter, p *stallMonitor, q *replicator.Replicator,
 ) *filterer.Pipeline {
 	i := filterer.Isolate{Quarantine: q, Targets: x}
 
@@ -206,7 +206,7 @@
 	Messenger  *messenger.Messenger
 	Recorder   *recorder.Recorder
 	Pipeline   *filterer.Pipeline
-	Replicator *warner.Warner
+	Replicator *replicator.Replicator
 	Drainer    *drainer.Drainer
 	Counter    *counter.Counter
 	Stalls     *stallMonitor
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -526,7 +526,7 @@
 
 	for range 3 {
 		waiter.Until(t, "a tick", func() bool { return !n.router.Stalled(time.Now()) })
-		time.Sleep(5 * detector.TickEvery)
+		time.Sleep(5 * detector.TickInterval)
 	}
 }
 
--- a/internal/router/stall_monitor.go
+++ b/internal/router/stall_monitor.go
@@ -25,7 +25,7 @@
 
 // run ticks the detector and logs stalls until the context ends.
 func (s *stallMonitor) run(c context.Context) {
-	t := time.NewTicker(detector.TickEvery)
+	t := time.NewTicker(detector.TickInterval)
 	defer t.Stop()
 
 	// The time between construction and start does not count as a stall.
--- a/internal/sender/sender.go
+++ b/internal/sender/sender.go
@@ -87,10 +87,10 @@
 	return s, s.reused.CloseIdleConnections, nil
 }
 
-// Ended says that a target's process is gone: its address refuses connections, and one of some
+// Crashed says that a target's process is gone: its address refuses connections, and one of some
 // others takes them.
-func (s *Sender) Ended(c context.Context, a netip.AddrPort, others []netip.AddrPort) bool {
-	return s.prober.Ended(c, a, others)
+func (s *Sender) Crashed(c context.Context, a netip.AddrPort, others []netip.AddrPort) bool {
+	return s.prober.Crashed(c, a, others)
 }
 
 func (s *Sender) target(a netip.AddrPort, path string) *url.URL {
--- a/internal/supervisor/stall_test.go
+++ b/internal/supervisor/stall_test.go
@@ -28,7 +28,7 @@
 
 // run ticks the detector until the context ends, but not while the process is stalled.
 func (p *process) run(c context.Context) {
-	t := time.NewTicker(detector.TickEvery)
+	t := time.NewTicker(detector.TickInterval)
 	defer t.Stop()
 
 	for {
--- a/internal/watcher/watcher.go
+++ b/internal/watcher/watcher.go
@@ -21,7 +21,7 @@
 const (
 	// waitFraction is the part of the wait budget for which a read waits for a change. Longer waits cost fewer
 	// reads, each of which is billed. But a read that is in progress when the network partitions never returns,
-	// and no change is received until it times out, extender.SilentAfter after its wait. Instances that read
+	// and no change is received until it times out, extender.IdleTimeout after its wait. Instances that read
 	// through this one receive none for as long.
 	waitFraction = 0.35
 	// newestTimeout bounds a read of all keys. The source usually answers within a few milliseconds, and within
@@ -143,12 +143,12 @@
 		return w.reset(c)
 	}
 
-	d, m := w.wait, w.wait+extender.SilentAfter
+	d, m := w.wait, w.wait+extender.IdleTimeout
 	if !w.failedSince.IsZero() {
 		d, m = 0, shortTimeout
 	}
 
-	x, stop := extender.New(c, extender.Arriving(m))
+	x, stop := extender.New(c, extender.DefaultSettings(m))
 	defer stop()
 
 	l, n, err := w.source.Follow(x, w.next, d)
@@ -176,7 +176,7 @@
 // The source may answer from an older state than the one already read, which is
 // detected by the offset of its end. Applying it would restore deleted records.
 func (w *Watcher) reset(c context.Context) (int, error) {
-	x, stop := extender.New(c, extender.Arriving(newestTimeout))
+	x, stop := extender.New(c, extender.DefaultSettings(newestTimeout))
 	defer stop()
 
 	l, n, err := w.source.Newest(x)
