--- a/internal/bencher/baseline.go
+++ b/internal/bencher/baseline.go
@@ -6,15 +6,15 @@
 	"github.com/auburntray/auburntray/internal/hasher"
 )
 
-// baseline is a policy that each router follows by itself: by hashing, or by
-// the targets' late reports and what it sent since.
+// baseline is a policy without homes, in which each router decides alone: by hashing,
+// or by the targets' delayed load reports and its own requests.
 type baseline struct {
 	kind string
-	// sent are each router's own requests on each target.
+	// sent holds each router's own requests in flight, by router and target.
 	sent [][]int16
 }
 
-// The baselines.
+// Baselines, and the load factor of the bounded policies.
 const (
 	policyRandom     = "random"
 	policyTwoChoices = "twoChoices"
@@ -65,7 +65,7 @@
 		return l[w.random.IntN(len(l))]
 	case policyTwoChoices:
 		x, y := l[w.random.IntN(len(l))], l[w.random.IntN(len(l))]
-		if b.load(q, y) < b.load(q, x) {
+		if b.estimatedLoad(q, y) < b.estimatedLoad(q, x) {
 			return y
 		}
 
@@ -82,11 +82,11 @@
 
 	s := 0.0
 	for _, t := range l {
-		s += b.load(q, t)
+		s += b.estimatedLoad(q, t)
 	}
 
 	for _, i := range o {
-		if b.load(q, l[i])+1 <= loadFactor*(s+1)/float64(len(l)) {
+		if b.estimatedLoad(q, l[i])+1 <= loadFactor*(s+1)/float64(len(l)) {
 			return l[i]
 		}
 	}
@@ -94,10 +94,10 @@
 	return l[o[0]]
 }
 
-// load is a target's late report, with this router's own requests where they
-// are more.
-func (b *baseline) load(q *request, t *target) float64 {
-	return max(float64(t.report()), float64(b.sent[q.router][t.index]))
+// estimatedLoad returns a target's delayed load report, or the number of the router's
+// own requests on it if that is higher.
+func (b *baseline) estimatedLoad(q *request, t *target) float64 {
+	return max(float64(t.reportedRunning()), float64(b.sent[q.router][t.index]))
 }
 
 func (b *baseline) done(_ *world, q *request) {
@@ -106,5 +106,5 @@
 	}
 }
 
-func (b *baseline) tick(*world)      {}
-func (b *baseline) lose(*world, int) {}
+func (b *baseline) tick(*world)               {}
+func (b *baseline) replaceRouter(*world, int) {}
--- a/internal/bencher/bencher.go
+++ b/internal/bencher/bencher.go
@@ -13,42 +13,44 @@
 	policyNoToken = "homesNoToken"
 )
 
-// Result is what one case came to.
+// Result holds the measurements of one case: a size under a condition with a policy.
 type Result struct {
 	Case   string
 	Policy string
-	// Reuse is the part of the prompt tokens seen before that came from caches.
+	// Reuse is the fraction of the prompt tokens of earlier turns that were served from
+	// prefix caches.
 	Reuse float64
-	// Phases is the reuse before, during and after the time of a surge or cut.
-	Phases [phases]float64
-	// SkewMean and SkewP99 are of the highest load over the mean load of the
-	// engines of a model in a region, by requests in flight as engines report
-	// them; WorkMean and WorkP99 by the true work of these requests, of which
-	// routers know only the limit.
+	// Phases is the reuse before, during and after the time window of a surge or a
+	// network partition.
+	Phases [phaseCount]float64
+	// SkewMean and SkewP99 describe the ratio of the highest load to the mean load of
+	// the engines of a model in a region, with load as requests in flight relative to
+	// the capacity. WorkMean and WorkP99 use the actual work of these requests
+	// instead, which routers don't know.
 	SkewMean, SkewP99 float64
 	WorkMean, WorkP99 float64
-	// ControlMean and ControlMax are control bytes a second, both ways, of the
-	// average node and of the one with most.
+	// ControlMean and ControlMax are the control bytes per second, sent and received,
+	// of the average router and of the router with the most.
 	ControlMean, ControlMax float64
-	// CPU is the time of the decisions for one request.
+	// CPU is the average time spent on routing decisions per request.
 	CPU time.Duration
-	// Bytes is the memory of the tables of places, of the average node.
+	// Bytes is the memory of the placement tables of the average router.
 	Bytes int
-	// Refused is the part of the requests refused, without those of customers
-	// that surge, and SurgeRefused that of theirs.
+	// Refused is the fraction of requests refused, without those of surging customers;
+	// SurgeRefused is the fraction of their requests.
 	Refused, SurgeRefused float64
 
-	// Waited is how long an average request waited for its place.
+	// Waited is the mean time that a request waited for a slot.
 	Waited time.Duration
 
-	waited                                  time.Duration
-	requests, refused, surged, surgeRefused int
-	reusable, reused                        [phases]int
+	waited                                         time.Duration
+	requests, refused, surgeRequests, surgeRefused int
+	reusable, reused                               [phaseCount]int
 }
 
-const phases = 3
+const phaseCount = 3
 
-// Line returns the result in one line.
+// Line returns the result as space-separated key=value pairs.
 func (r *Result) Line() string {
 	return fmt.Sprintf("case=%s policy=%s reuse=%.3f reusePhases=%.3f/%.3f/%.3f skewMean=%.2f skewP99=%.2f workMean=%.2f workP99=%.2f controlBytesPerSecond=%.0f "+
 		"controlBytesMax=%.0f cpuMicrosPerRequest=%.1f bytesPerNode=%d refused=%.4f surgeRefused=%.3f waitedMs=%.1f",
@@ -57,14 +59,14 @@
 		float64(r.Waited)/float64(time.Millisecond))
 }
 
-// Policies returns the names of the policies.
+// Policies returns the names of all policies: those of the routers, then the baselines.
 func Policies() []string {
 	return []string{policyHomes, policyNoToken, policyRandom, policyTwoChoices, policyRendezvous, policyBounded}
 }
 
-// Run runs the cases of the given sizes, conditions and policies and calls f
-// with each result, in their order. All but the processor time is the same
-// each run with the same seed.
+// Run runs the cases of the given sizes, conditions and policies, several at once,
+// and calls f with each result in order. All measurements but Result.CPU are
+// reproducible with the same seed.
 func Run(sizes []Size, conditions []Condition, policies []string, seed uint64, f func(*Result)) error {
 	var (
 		g errgroup.Group
@@ -80,7 +82,7 @@
 				o := l[len(l)-1]
 
 				go g.Go(func() error {
-					o <- one(s, c, p, seed)
+					o <- runCase(s, c, p, seed)
 
 					return nil
 				})
@@ -95,14 +97,14 @@
 	return g.Wait()
 }
 
-func one(s Size, c Condition, name string, seed uint64) *Result {
+func runCase(s Size, c Condition, name string, seed uint64) *Result {
 	w := newWorld(s, c, seed)
 
-	var h *homes
+	var h *homePolicy
 
 	switch name {
 	case policyHomes, policyNoToken:
-		h = newHomes(w, name == policyHomes)
+		h = newHomePolicy(w, name == policyHomes)
 		w.policy = h
 	default:
 		w.policy = newBaseline(name, s)
@@ -113,13 +115,13 @@
 	return w.finish(name, h)
 }
 
-func (w *world) finish(name string, h *homes) *Result {
+func (w *world) finish(name string, h *homePolicy) *Result {
 	r := w.result
 	r.Policy = name
 
 	a, b := 0, 0
 
-	for i := range phases {
+	for i := range phaseCount {
 		r.Phases[i] = float64(r.reused[i]) / float64(max(r.reusable[i], 1))
 		a += r.reused[i]
 		b += r.reusable[i]
@@ -130,12 +132,12 @@
 	r.SkewP99 = float64(w.skew.ValueAtPercentile(99)) / skewUnit //nolint:mnd // A percentile.
 	r.WorkMean = w.work.Mean() / skewUnit
 	r.WorkP99 = float64(w.work.ValueAtPercentile(99)) / skewUnit //nolint:mnd // A percentile.
-	r.Refused = float64(r.refused) / float64(max(r.requests-r.surged, 1))
-	r.SurgeRefused = float64(r.surgeRefused) / float64(max(r.surged, 1))
+	r.Refused = float64(r.refused) / float64(max(r.requests-r.surgeRequests, 1))
+	r.SurgeRefused = float64(r.surgeRefused) / float64(max(r.surgeRequests, 1))
 	r.Waited = r.waited / time.Duration(max(r.requests, 1))
 	r.CPU = w.cpu / time.Duration(max(r.requests, 1))
 
-	t := (w.size.Length - w.size.Warm).Seconds()
+	t := (w.size.Duration - w.size.WarmUp).Seconds()
 
 	for _, x := range w.routers {
 		b := float64(x.bytes) / t
--- a/internal/bencher/bencher_test.go
+++ b/internal/bencher/bencher_test.go
@@ -13,7 +13,7 @@
 	t.Helper()
 
 	s := bencher.Sizes()[0]
-	s.Length, s.Warm = 80*time.Second, 40*time.Second
+	s.Duration, s.WarmUp = 80*time.Second, 40*time.Second
 
 	var o []*bencher.Result
 
@@ -28,7 +28,7 @@
 	return o
 }
 
-func TestRunIsTheSameEachTime(t *testing.T) {
+func TestRunIsReproducible(t *testing.T) {
 	i := is.New(t)
 
 	for _, c := range bencher.Conditions() {
@@ -36,10 +36,10 @@
 	}
 }
 
-// The brief's two measures against each other: plain hashing reuses most and
-// buries engines, choosing by load spreads well and reuses little. The policy
-// must come close to the better of each.
-func TestThePolicyBeatsItsBaselines(t *testing.T) {
+// Plain hashing has the highest cache reuse but overloads engines, and selection by load
+// balances well but reuses little. The policy must come close to the better baseline in
+// both measures.
+func TestPolicyBeatsBaselines(t *testing.T) {
 	i := is.New(t)
 	o := run(t, bencher.Steady, "homesNoToken", "rendezvous", "boundedRendezvous", "twoChoices")
 	homes, plain, bounded, two := o[0], o[1], o[2], o[3]
@@ -53,7 +53,8 @@
 	i.Equal(homes.Refused, 0.0)
 }
 
-func TestASurgeRefusesNobodyElse(t *testing.T) {
+// A surge of three customers must not cause refusals of other customers.
+func TestSurgeRefusesNoOtherCustomer(t *testing.T) {
 	i := is.New(t)
 
 	for _, r := range run(t, bencher.Surge, "homesNoToken") {
--- a/internal/bencher/exchange.go
+++ b/internal/bencher/exchange.go
@@ -8,30 +8,32 @@
 	"github.com/auburntray/auburntray/internal/wire"
 )
 
-// tick does what the routers do from time to time.
-func (h *homes) tick(w *world) {
-	clear(h.homeOf)
+// tick does the periodic work of the routers: every second, homes exchange loads and
+// placements, and every syncInterval, routers report their grants.
+func (h *homePolicy) tick(w *world) {
+	clear(h.homeByCell)
 
-	if w.healed || w.condition == Cut {
+	if w.reconnected || w.condition == Partition {
 		clear(h.assigned)
 	}
 
-	// The home outside a cut was the home before it, and is so after it for all
-	// entries; those that were cut off find it anew.
-	if w.healed {
-		clear(h.was)
+	// The home among the other data centres remained the home during the partition and
+	// now is the home of the isolated routers again. All routers report their requests
+	// in flight to it.
+	if w.reconnected {
+		clear(h.lastHomes)
 	}
 
 	if w.now%time.Second != 0 {
 		return
 	}
 
-	h.tell(w)
+	h.exchangeCellLoads(w)
 	h.replicate(w)
-	h.handOver(w)
+	h.continueHandOvers(w)
 
-	if w.now%syncEvery == 0 {
-		h.list(w)
+	if w.now%syncInterval == 0 {
+		h.syncGrants(w)
 	}
 
 	for _, g := range h.granters {
@@ -39,23 +41,24 @@
 	}
 }
 
-// syncEvery is how often entries send the homes their list of grants.
-const syncEvery = 5 * time.Second
+// syncInterval is the interval at which routers send their grants to the homes.
+const syncInterval = 5 * time.Second
 
-// list has each entry send the home of each cell that it uses its whole list.
-func (h *homes) list(w *world) {
-	l := make(map[usage][]granter.Grant)
+// syncGrants sends each router's complete list of grants in a cell to the cell's home,
+// for each cell that the router has used.
+func (h *homePolicy) syncGrants(w *world) {
+	l := make(map[cellUse][]granter.Grant)
 
-	for _, f := range w.running {
-		if q := f.request; q.target != nil && w.routers[q.router].id == q.entry {
-			k := usage{q.cell, q.router}
+	for _, e := range w.events {
+		if q := e.request; q.target != nil && w.routers[q.router].id == q.entry {
+			k := cellUse{q.cell, q.router}
 			l[k] = append(l[k], h.grant(q))
 		}
 	}
 
 	for _, c := range h.matcher.Cells() {
 		for i, r := range w.routers {
-			k := usage{c.ID, i}
+			k := cellUse{c.ID, i}
 			if !h.used[k] {
 				continue
 			}
@@ -68,82 +71,83 @@
 				m.Grants = append(m.Grants, wire.Grant{Seq: g.ID.Seq, Target: g.Target, Customer: g.Customer})
 			}
 
-			h.send(w, i, j, wire.KindSync, 0, &m)
+			h.countBytes(w, i, j, wire.KindSync, 0, &m)
 		}
 	}
 }
 
-// grant returns the grant under which a request runs.
-func (h *homes) grant(q *request) granter.Grant {
+// grant returns the grant of a running request.
+func (h *homePolicy) grant(q *request) granter.Grant {
 	return granter.Grant{
-		ID: granter.ID{Entry: q.entry, Seq: q.seq}, Target: h.ids[q.target.index], Customer: q.chat.customer.id, Work: 1,
+		ID: granter.ID{Entry: q.entry, Seq: q.seq}, Target: h.targetIDs[q.target.index], Customer: q.chat.customer.id, Work: 1,
 	}
 }
 
-// replicate has each home pass its new places on to the home after it.
-func (h *homes) replicate(w *world) {
+// replicate sends each home's changed placements to the next router in the cell's order
+// of homes.
+func (h *homePolicy) replicate(w *world) {
 	for _, c := range h.matcher.Cells() {
-		i := h.home(w, &router{centre: h.byID[c.Targets[0].ID].centre}, c)
+		i := h.home(w, &router{centre: h.targetByID[c.Targets[0].ID].centre}, c)
 
-		j := h.first(w, w.routers[i], c, i)
+		j := h.firstHome(w, w.routers[i], c, i)
 		if j < 0 {
 			continue
 		}
 
 		m := wire.HandOver{Cell: c.ID}
-		for _, p := range h.granter(c, w.routers[i].id).ChangedPlacements(128, 16) { //nolint:mnd // As the routers do.
+		for _, p := range h.granter(c, w.routers[i].id).ChangedPlacements(128, 16) { //nolint:mnd // As in the routers.
 			h.granter(c, w.routers[j].id).RecordPlacement(epoch.Add(w.now), p.Chat, p.Placement)
 			m.Places = append(m.Places, wire.Place{Chat: p.Chat, Target: p.Target, Tokens: uint32(p.Tokens)}) //nolint:gosec // Not negative.
 		}
 
 		if len(m.Places) > 0 {
-			h.send(w, i, j, wire.KindHandOver, 0, &m)
+			h.countBytes(w, i, j, wire.KindHandOver, 0, &m)
 		}
 	}
 }
 
-// handover is a former home's table on its way to the new one.
-type handover struct {
-	cell *matcher.Cell
-	from *granter.Granter
-	at   int
+// handOver is the transfer of a former home's placements to the new home, up to cursor.
+type handOver struct {
+	cell   *matcher.Cell
+	from   *granter.Granter
+	cursor int
 }
 
-// handOver has the former homes of cells that live on pass their places on.
-func (h *homes) handOver(w *world) {
-	var l []handover
+// continueHandOvers sends the next batch of placements of each former home.
+func (h *homePolicy) continueHandOvers(w *world) {
+	var l []handOver
 
-	for _, x := range h.moving {
-		i := h.home(w, &router{centre: h.byID[x.cell.Targets[0].ID].centre}, x.cell)
+	for _, x := range h.handOvers {
+		i := h.home(w, &router{centre: h.targetByID[x.cell.Targets[0].ID].centre}, x.cell)
 		g := h.granter(x.cell, w.routers[i].id)
 
-		p, next := x.from.Placements().Scan(x.at, 2048) //nolint:mnd // As the routers do.
+		p, next := x.from.Placements().Scan(x.cursor, 2048) //nolint:mnd // As in the routers.
 		for _, c := range p {
 			g.RecordPlacement(epoch.Add(w.now), c.Chat, c.Placement)
 		}
 
-		if x.at = next; next > 0 {
+		if x.cursor = next; next > 0 {
 			l = append(l, x)
 		}
 	}
 
-	h.moving = l
+	h.handOvers = l
 }
 
-// tell has each cell's home tell those of the pool's other cells of its load.
-func (h *homes) tell(w *world) {
+// exchangeCellLoads reports the load of each cell to the homes of the pool's other cells.
+func (h *homePolicy) exchangeCellLoads(w *world) {
 	for _, c := range h.matcher.Cells() {
 		for _, y := range h.matcher.Siblings(c) {
-			h.tellOne(w, c, y)
+			h.sendCellLoad(w, c, y)
 		}
 	}
 }
 
-func (h *homes) tellOne(w *world, from, to *matcher.Cell) {
-	i := h.home(w, &router{centre: h.byID[from.Targets[0].ID].centre}, from)
+func (h *homePolicy) sendCellLoad(w *world, from, to *matcher.Cell) {
+	i := h.home(w, &router{centre: h.targetByID[from.Targets[0].ID].centre}, from)
 	j := h.home(w, w.routers[i], to)
 	l, x := h.granter(from, w.routers[i].id).CellLoad(epoch.Add(w.now))
 
 	h.granter(to, w.routers[j].id).ReportCell(epoch.Add(w.now), from.ID, l, x)
-	h.send(w, i, j, wire.KindCellLoad, 0, &wire.CellLoad{From: from.ID, To: to.ID, Milli: uint64(l * skewUnit), Weight: uint32(x)})
+	h.countBytes(w, i, j, wire.KindCellLoad, 0, &wire.CellLoad{From: from.ID, To: to.ID, Milli: uint64(l * skewUnit), Weight: uint32(x)})
 }
--- a/internal/bencher/home.go
+++ b/internal/bencher/home.go
@@ -9,49 +9,51 @@
 	"github.com/auburntray/auburntray/internal/parser"
 )
 
-// granterKey names a cell's Granter at one home: two sides of a cut have one
-// each.
+// granterKey identifies a cell's Granter at a home. During a network partition, each
+// side has its own. As a key of homeByCell and lastHomes, home is the side instead: 1
+// for the isolated data centre and 0 for the others.
 type granterKey struct {
 	cell uint32
 	home uint64
 }
 
-// home returns the cell's home as a router sees it.
-func (h *homes) home(w *world, r *router, c *matcher.Cell) int {
+// home returns the index of the cell's home (home node) as a router sees it, or -1 if
+// there is none.
+func (h *homePolicy) home(w *world, r *router, c *matcher.Cell) int {
 	k := granterKey{cell: c.ID}
-	if w.cut >= 0 && r.centre == w.cut {
+	if w.partitioned >= 0 && r.centre == w.partitioned {
 		k.home = 1
 	}
 
-	i, ok := h.homeOf[k]
+	i, ok := h.homeByCell[k]
 	if ok {
 		return i
 	}
 
-	i = h.first(w, r, c, -1)
-	h.homeOf[k] = i
+	i = h.firstHome(w, r, c, -1)
+	h.homeByCell[k] = i
 
-	// The entries tell a home that is new to them of what they have in flight.
-	if o, ok := h.was[k]; i >= 0 && (!ok || o != w.routers[i].id) {
-		if g := h.holder(w, c, o, i); g != nil && k.home == 0 {
-			h.moving = append(h.moving, handover{cell: c, from: g})
+	// Routers report their requests in flight to a new home.
+	if o, ok := h.lastHomes[k]; i >= 0 && (!ok || o != w.routers[i].id) {
+		if g := h.handOverSource(w, c, o, i); g != nil && k.home == 0 {
+			h.handOvers = append(h.handOvers, handOver{cell: c, from: g})
 		}
 
-		h.was[k] = w.routers[i].id
-		h.sync(w, c, i)
+		h.lastHomes[k] = w.routers[i].id
+		h.syncNewHome(w, c, i)
 	}
 
 	return i
 }
 
-// holder returns the Granter that hands its places over to a new home: the
-// former home's, or when that is lost, the one that it replicated to.
-func (h *homes) holder(w *world, c *matcher.Cell, former uint64, home int) *granter.Granter {
+// handOverSource returns the Granter that hands its placements over to a new home: that
+// of the former home, or of its replica if the former home is lost.
+func (h *homePolicy) handOverSource(w *world, c *matcher.Cell, former uint64, home int) *granter.Granter {
 	if g, ok := h.granters[granterKey{cell: c.ID, home: former}]; ok {
 		return g
 	}
 
-	j := h.first(w, w.routers[home], c, home)
+	j := h.firstHome(w, w.routers[home], c, home)
 	if j < 0 {
 		return nil
 	}
@@ -59,10 +61,10 @@
 	return h.granters[granterKey{cell: c.ID, home: w.routers[j].id}]
 }
 
-// first returns the first router for a cell, without one, on a router's side of
-// a cut.
-func (h *homes) first(w *world, r *router, c *matcher.Cell, without int) int {
-	s := w.cut >= 0 && r.centre == w.cut
+// firstHome returns the index of the first router in a cell's order of homes, except
+// the router without, on r's side of a network partition. It returns -1 if there is none.
+func (h *homePolicy) firstHome(w *world, r *router, c *matcher.Cell, without int) int {
+	s := w.partitioned >= 0 && r.centre == w.partitioned
 
 	a, ok := h.assigned[s]
 	if !ok {
@@ -81,15 +83,15 @@
 	return -1
 }
 
-// assign works out the homes among the routers that a router reaches.
-func (h *homes) assign(w *world, r *router) map[uint64][]gossiper.Member {
+// assign computes the homes of all cells among the routers that r can reach.
+func (h *homePolicy) assign(w *world, r *router) map[uint64][]gossiper.Member {
 	var (
 		l []gossiper.Member
 		k []gossiper.Key
 	)
 
 	for _, x := range w.routers {
-		if w.together(r, x) {
+		if w.connected(r, x) {
 			l = append(l, gossiper.Member{ID: x.id, DataCentre: centreName("dc", x.centre)})
 		}
 	}
@@ -101,7 +103,7 @@
 	return gossiper.Assign(l, k)
 }
 
-func (h *homes) granter(c *matcher.Cell, home uint64) *granter.Granter {
+func (h *homePolicy) granter(c *matcher.Cell, home uint64) *granter.Granter {
 	k := granterKey{cell: c.ID, home: home}
 	if g, ok := h.granters[k]; ok {
 		return g
@@ -120,13 +122,14 @@
 	return g
 }
 
-// sync tells a home of the requests in flight in its cell on its side of a cut.
-func (h *homes) sync(w *world, c *matcher.Cell, home int) {
+// syncNewHome reports to a home the requests in flight in its cell, on its side of a
+// network partition.
+func (h *homePolicy) syncNewHome(w *world, c *matcher.Cell, home int) {
 	l := make(map[uint64][]granter.Grant)
 
-	for _, f := range w.running {
-		q := f.request
-		if q.cell != c.ID || q.target == nil || !w.together(w.routers[q.router], w.routers[home]) {
+	for _, e := range w.events {
+		q := e.request
+		if q.cell != c.ID || q.target == nil || !w.connected(w.routers[q.router], w.routers[home]) {
 			continue
 		}
 
@@ -140,8 +143,8 @@
 	}
 }
 
-// look has the homes looked for anew.
-func (h *homes) look() {
-	clear(h.homeOf)
+// resetHomes makes all homes be computed again.
+func (h *homePolicy) resetHomes() {
+	clear(h.homeByCell)
 	clear(h.assigned)
 }
--- a/internal/bencher/homes.go
+++ b/internal/bencher/home_policy.go
@@ -20,37 +20,39 @@
 // epoch is the wall-clock time at which each case begins.
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC) //nolint:gochecknoglobals // A constant.
 
-// homes is the policy that routers run: the home of a cell grants each place.
-type homes struct {
-	matcher *matcher.Matcher
-	rules   []*matcher.Rule
-	byID    map[uint32]*target
-	ids     []uint32
-	// tokens says that callers carry their place back.
-	tokens   bool
-	seq      uint32
-	granters map[granterKey]*granter.Granter
-	// homeOf are the homes of cells on the two sides of a cut, and was the ones
-	// that the entries knew last.
-	homeOf map[granterKey]int
-	was    map[granterKey]uint64
-	moving []handover
-	// used are the cells that routers have asked.
-	used map[usage]bool
-	// assigned are the homes on the two sides, until routers change.
+// homePolicy is the policy of the routers: the home (home node) of a cell, which is the
+// one instance responsible for it, grants each slot.
+type homePolicy struct {
+	matcher    *matcher.Matcher
+	rules      []*matcher.Rule
+	targetByID map[uint32]*target
+	targetIDs  []uint32
+	// placementTokens means that callers send their last placement back in a token.
+	placementTokens bool
+	seq             uint32
+	granters        map[granterKey]*granter.Granter
+	// homeByCell holds the homes of cells, on each side of a network partition, and
+	// lastHomes the homes that the routers knew last.
+	homeByCell map[granterKey]int
+	lastHomes  map[granterKey]uint64
+	handOvers  []handOver
+	// used holds the cells from which routers have requested a slot.
+	used map[cellUse]bool
+	// assigned caches the homes on the two sides of a network partition until the
+	// routers change.
 	assigned map[bool]map[uint64][]gossiper.Member
 }
 
-// usage is a cell that a router has asked for a place.
-type usage struct {
+// cellUse is a cell from which a router has requested a slot.
+type cellUse struct {
 	cell   uint32
 	router int
 }
 
-func newHomes(w *world, tokens bool) *homes {
-	h := &homes{
-		tokens: tokens, byID: make(map[uint32]*target),
-		granters: make(map[granterKey]*granter.Granter), homeOf: make(map[granterKey]int), was: make(map[granterKey]uint64), used: make(map[usage]bool), assigned: make(map[bool]map[uint64][]gossiper.Member),
+func newHomePolicy(w *world, tokens bool) *homePolicy {
+	h := &homePolicy{
+		placementTokens: tokens, targetByID: make(map[uint32]*target),
+		granters: make(map[granterKey]*granter.Granter), homeByCell: make(map[granterKey]int), lastHomes: make(map[granterKey]uint64), used: make(map[cellUse]bool), assigned: make(map[bool]map[uint64][]gossiper.Member),
 	}
 	d := &parser.Document{
 		Targets: make(map[string]parser.Target), Customers: map[string]parser.Customer{}, Rules: make(map[string]parser.Rule),
@@ -59,12 +61,12 @@
 	for _, t := range w.targets {
 		n := fmt.Sprintf("target-%d", t.index)
 		d.Targets[n] = parser.Target{
-			Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(t.index >> 8), byte(t.index), 1}), 80).String(), //nolint:gosec,mnd // An address for each.
+			Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(t.index >> 8), byte(t.index), 1}), 80).String(), //nolint:gosec,mnd // A unique address.
 			Kind:    parser.KindEngine, Region: centreName("region", t.region), DataCentre: centreName("dc", t.centre),
 			Capacity: t.capacity, Labels: map[string]string{"model": modelName(t.model)},
 		}
-		h.byID[hasher.Name(n)] = t
-		h.ids = append(h.ids, hasher.Name(n))
+		h.targetByID[hasher.Name(n)] = t
+		h.targetIDs = append(h.targetIDs, hasher.Name(n))
 	}
 
 	for m := range w.size.Models {
@@ -83,13 +85,13 @@
 func centreName(kind string, i int) string { return fmt.Sprintf("%s-%d", kind, i) }
 func modelName(i int) string               { return fmt.Sprintf("model-%d", i) }
 
-func (h *homes) pick(w *world, q *request) (*target, time.Duration) {
+func (h *homePolicy) pick(w *world, q *request) (*target, time.Duration) {
 	r := w.routers[q.router]
 	l := h.matcher.Ranked(h.rules[q.chat.customer.model], centreName("region", r.region), q.chat.key)
 	t := uint32(0)
 
-	if h.tokens {
-		t = q.chat.place
+	if h.placementTokens {
+		t = q.chat.placement
 	}
 
 	for i, c := range l {
@@ -103,17 +105,17 @@
 		}
 	}
 
-	for i, c := range l[:min(len(l), 4)] { //nolint:mnd // As the routers do.
-		v := h.ask(w, r, q, c, t, false)
+	for i, c := range l[:min(len(l), 4)] { //nolint:mnd // As in the routers.
+		v := h.reserve(w, r, q, c, t, false)
 		if v.Reason == granter.Elsewhere {
-			v = h.ask(w, r, q, h.matcher.Cell(v.Cell), t, true)
+			v = h.reserve(w, r, q, h.matcher.Cell(v.Cell), t, true)
 		}
 
 		switch v.Reason {
 		case granter.Granted:
-			q.chat.place = v.Target
+			q.chat.placement = v.Target
 
-			return h.byID[v.Target], 0
+			return h.targetByID[v.Target], 0
 		case granter.Wait:
 			return nil, v.RetryAfter
 		case granter.OverShare:
@@ -127,8 +129,9 @@
 	return nil, 0
 }
 
-// ask asks a cell's home for a place.
-func (h *homes) ask(w *world, r *router, q *request, c *matcher.Cell, hint uint32, sent bool) granter.Verdict {
+// reserve requests a slot from a cell's home. forwarded means that another cell's home
+// redirected the request.
+func (h *homePolicy) reserve(w *world, r *router, q *request, c *matcher.Cell, hint uint32, forwarded bool) granter.Verdict {
 	i := h.home(w, r, c)
 	if i < 0 {
 		return granter.Verdict{Reason: granter.NoTargets}
@@ -137,26 +140,26 @@
 	h.seq++
 	a := wire.Ask{
 		Seq: h.seq, Cell: c.ID, Rule: h.rules[q.chat.customer.model].ID, Customer: q.chat.customer.id,
-		Chat: q.chat.key, Prompt: uint32(q.prompt), Hint: hint, WaitedMs: uint32(q.waited.Milliseconds()), Sent: sent, //nolint:gosec // Not negative.
+		Chat: q.chat.key, Prompt: uint32(q.prompt), Hint: hint, WaitedMs: uint32(q.waited.Milliseconds()), Sent: forwarded, //nolint:gosec // Not negative.
 	}
 	v := h.granter(c, w.routers[i].id).Reserve(epoch.Add(w.now), granter.Request{
 		ID: granter.ID{Entry: r.id, Seq: a.Seq}, Chat: a.Chat, Customer: a.Customer, Weight: 1,
-		Prompt: q.prompt, Hint: hint, Waited: q.waited, Forwarded: sent,
-		Allowed: func(id uint32) bool { return w.reachable(r, h.byID[id]) },
+		Prompt: q.prompt, Hint: hint, Waited: q.waited, Forwarded: forwarded,
+		Allowed: func(id uint32) bool { return w.reachable(r, h.targetByID[id]) },
 	})
 
-	h.send(w, q.router, i, wire.KindAsk, 1, &a)
-	h.send(w, q.router, i, wire.KindReply, 1, &wire.Verdict{
+	h.countBytes(w, q.router, i, wire.KindAsk, 1, &a)
+	h.countBytes(w, q.router, i, wire.KindReply, 1, &wire.Verdict{
 		Reason: uint8(v.Reason), Target: v.Target | v.Cell, Flags: flags(v), RetryAfterMs: uint32(v.RetryAfter.Milliseconds()), //nolint:gosec // Small.
 	})
 
 	q.seq, q.entry, q.cell = a.Seq, r.id, c.ID
-	h.used[usage{c.ID, q.router}] = true
+	h.used[cellUse{c.ID, q.router}] = true
 
 	if v.ReportDue {
-		t := h.byID[v.Target]
-		h.granter(c, w.routers[i].id).Report(epoch.Add(w.now), v.Target, t.report(), tracker.State{})
-		h.send(w, q.router, i, wire.KindReport, 0, &wire.Report{Cell: c.ID, Target: v.Target, Requests: int32(t.report())}) //nolint:gosec // Small.
+		t := h.targetByID[v.Target]
+		h.granter(c, w.routers[i].id).Report(epoch.Add(w.now), v.Target, t.reportedRunning(), tracker.State{})
+		h.countBytes(w, q.router, i, wire.KindReport, 0, &wire.Report{Cell: c.ID, Target: v.Target, Requests: int32(t.reportedRunning())}) //nolint:gosec // Small.
 	}
 
 	return v
@@ -170,18 +173,18 @@
 	return wire.FlagReturned
 }
 
-func (h *homes) done(w *world, q *request) {
+func (h *homePolicy) done(w *world, q *request) {
 	c := h.matcher.Cell(q.cell)
 	i := h.home(w, w.routers[q.router], c)
 
 	h.granter(c, w.routers[i].id).Release(epoch.Add(w.now), granter.ID{Entry: q.entry, Seq: q.seq},
 		granter.Outcome{OK: true})
-	h.send(w, q.router, i, wire.KindRelease, 0, &wire.Release{Seq: q.seq, Cell: q.cell, OK: true})
+	h.countBytes(w, q.router, i, wire.KindRelease, 0, &wire.Release{Seq: q.seq, Cell: q.cell, OK: true})
 }
 
-// send counts the bytes of a message on both of its ends. Frames are numbered
-// on each connection; the numbers of long-lived ones take two bytes more.
-func (h *homes) send(w *world, from, to int, k wire.Kind, id uint32, m msgp.Marshaler) {
+// countBytes counts the bytes of a message at its sender and receiver. Frames are
+// numbered per connection, and the numbers of long-lived connections take two more bytes.
+func (h *homePolicy) countBytes(w *world, from, to int, k wire.Kind, id uint32, m msgp.Marshaler) {
 	if from == to || !w.measuring() {
 		return
 	}
@@ -193,8 +196,8 @@
 	w.routers[to].bytes += n
 }
 
-// lose replaces a router by a new process, which knows nothing.
-func (h *homes) lose(w *world, i int) {
+// replaceRouter replaces a router by a new process with empty state.
+func (h *homePolicy) replaceRouter(w *world, i int) {
 	o := w.routers[i].id
 
 	for k := range h.granters {
@@ -203,6 +206,6 @@
 		}
 	}
 
-	w.routers[i].id = o + 1<<20 //nolint:mnd // Another process.
-	h.look()
+	w.routers[i].id = o + 1<<20 //nolint:mnd // The ID of another process.
+	h.resetHomes()
 }
--- a/internal/bencher/sample.go
+++ b/internal/bencher/sample.go
@@ -1,13 +1,13 @@
 package bencher
 
-// sample records, for each pool, the highest load over the mean. The two sides
-// of a cut are measured each for itself.
+// sample records, for each pool, the ratio of the highest load to the mean. During a
+// network partition, the two sides are measured separately.
 func (w *world) sample() {
 	for _, p := range w.pools {
-		w.sampleSide(p, func(t *target) bool { return w.cut < 0 || t.centre != w.cut })
+		w.sampleSide(p, func(t *target) bool { return w.partitioned < 0 || t.centre != w.partitioned })
 
-		if w.cut >= 0 {
-			w.sampleSide(p, func(t *target) bool { return t.centre == w.cut })
+		if w.partitioned >= 0 {
+			w.sampleSide(p, func(t *target) bool { return t.centre == w.partitioned })
 		}
 	}
 }
@@ -18,7 +18,7 @@
 	n, r := 0, 0
 
 	for _, t := range p {
-		if t.out || !in(t) {
+		if t.down || !in(t) {
 			continue
 		}
 
@@ -31,7 +31,7 @@
 		r += t.running
 	}
 
-	if n > 1 && float64(r) >= leastRunning*float64(n) {
+	if n > 1 && float64(r) >= minMeanRunning*float64(n) {
 		_ = w.skew.RecordValue(int64(m * float64(n) / s * skewUnit))
 		_ = w.work.RecordValue(int64(v * float64(n) / u * skewUnit))
 	}
--- a/internal/bencher/size.go
+++ b/internal/bencher/size.go
@@ -1,76 +1,78 @@
-// Package bencher measures the routing policy and its baselines. It drives the
-// real decision objects in one process, on fakes of targets and of callers,
-// with time and chance of its own.
+// Package bencher benchmarks the routing policy against baselines. It is a
+// discrete-event simulation in one process: the routers' own decision code runs with
+// simulated targets and callers, on a simulated clock and with seeded random numbers.
 package bencher
 
 import "time"
 
-// Size is the size of a fleet and of its traffic.
+// Size describes a fleet and its traffic.
 type Size struct {
-	Name      string
-	Regions   int
-	Centres   int
-	Routers   int
-	Targets   int
-	Models    int
-	Customers int
-	// Rate is how many requests come in a second.
+	Name        string
+	Regions     int
+	DataCentres int
+	Routers     int
+	Targets     int
+	Models      int
+	Customers   int
+	// Rate is the number of requests per second.
 	Rate float64
-	// Capacity is how many requests a target runs at once.
+	// Capacity is the number of requests that a target runs concurrently.
 	Capacity int
-	// CacheTokens is the size of a target's prefix cache.
+	// CacheTokens is the size of a target's prefix cache in tokens.
 	CacheTokens int
-	// CellTargets is the document's limit; zero is its default.
+	// CellTargets is the configuration's limit of targets per cell; zero means the
+	// default.
 	CellTargets int
-	// Length is how long the fleet is followed, and Warm how much of that
-	// passes before measuring.
-	Length, Warm time.Duration
+	// Duration is the simulated time, including WarmUp, during which nothing is
+	// measured.
+	Duration, WarmUp time.Duration
 }
 
-// Sizes returns the sizes of the two users and the design size.
+// Sizes returns the sizes of the two users' fleets and the design size.
 func Sizes() []Size {
 	const (
-		cache  = 1_500_000
-		length = 240 * time.Second
-		warm   = 100 * time.Second
+		cache    = 1_500_000
+		duration = 240 * time.Second
+		warmUp   = 100 * time.Second
 	)
 
 	return []Size{
 		{
-			Name: "ikenga", Regions: 1, Centres: 4, Routers: 6, Targets: 10, Models: 1, Customers: 10,
-			Rate: 30, Capacity: 64, CacheTokens: cache, Length: length, Warm: warm,
+			Name: "ikenga", Regions: 1, DataCentres: 4, Routers: 6, Targets: 10, Models: 1, Customers: 10,
+			Rate: 30, Capacity: 64, CacheTokens: cache, Duration: duration, WarmUp: warmUp,
 		},
 		{
-			Name: "derwent", Regions: 1, Centres: 4, Routers: 6, Targets: 20, Models: 1, Customers: 10,
-			Rate: 60, Capacity: 64, CacheTokens: cache, Length: length, Warm: warm,
+			Name: "derwent", Regions: 1, DataCentres: 4, Routers: 6, Targets: 20, Models: 1, Customers: 10,
+			Rate: 60, Capacity: 64, CacheTokens: cache, Duration: duration, WarmUp: warmUp,
 		},
 		{
-			Name: "design", Regions: 2, Centres: 8, Routers: 380, Targets: 600, Models: 32, Customers: 7600,
-			Rate: 3000, Capacity: 80, CellTargets: 8, CacheTokens: cache, Length: 120 * time.Second, Warm: 60 * time.Second,
+			Name: "design", Regions: 2, DataCentres: 8, Routers: 380, Targets: 600, Models: 32, Customers: 7600,
+			Rate: 3000, Capacity: 80, CellTargets: 8, CacheTokens: cache, Duration: 120 * time.Second, WarmUp: 60 * time.Second,
 		},
 	}
 }
 
-// Condition is what happens to the fleet while it is measured.
+// Condition is a load pattern or fault that is simulated while measuring.
 type Condition string
 
-// The conditions.
+// Conditions.
 const (
-	// Steady is no trouble.
+	// Steady is the usual traffic without faults.
 	Steady Condition = "steady"
-	// Quiet is a fifteenth of the usual traffic.
+	// Quiet is one fifteenth of the usual traffic.
 	Quiet Condition = "quiet"
-	// Churn loses a target, and a router, from time to time; they come back
-	// empty.
+	// Churn takes a target down and restarts a router every churnInterval. Both lose
+	// their state.
 	Churn Condition = "churn"
-	// Surge has three customers of one model send, besides what they did, as
-	// much as all callers of the model did before.
+	// Surge makes three customers of one model send additional traffic that equals the
+	// usual traffic of the model.
 	Surge Condition = "surge"
-	// Cut cuts one data centre off from the others for a while.
-	Cut Condition = "cut"
+	// Partition isolates one data centre from the others by a temporary network
+	// partition.
+	Partition Condition = "cut"
 )
 
-// Conditions returns all conditions.
+// Conditions returns all conditions, in the order in which they are run by default.
 func Conditions() []Condition {
-	return []Condition{Steady, Quiet, Churn, Surge, Cut}
+	return []Condition{Steady, Quiet, Churn, Surge, Partition}
 }
--- a/internal/bencher/target.go
+++ b/internal/bencher/target.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	// prefillCost is the work of an uncached prompt token in output tokens.
+	// prefillCost is the work of an uncached prompt token relative to an output token.
 	prefillCost = 0.1
-	// tokenTime and prefillTime are the time of an output token and of an
-	// uncached prompt token.
+	// tokenTime is the time per output token and prefillTime the time per uncached
+	// prompt token.
 	tokenTime   = 38 * time.Millisecond
 	prefillTime = 100 * time.Microsecond
-	// reportLag is how late routers see an engine's own report.
+	// reportLag is the delay with which routers receive an engine's load report.
 	reportLag = 1500 * time.Millisecond
 )
 
-// target is a fake of a model engine: a prefix cache and requests that run for
-// as long as their tokens take.
+// target is a simulated model engine with a prefix cache, whose requests run for a time
+// that depends on their tokens.
 type target struct {
 	index  int
 	region int
@@ -27,59 +27,59 @@
 	model  int
 
 	capacity int
-	out      bool
+	down     bool
 	running  int
-	// work is the true work in flight.
-	work  float64
-	cache *simplelru.LRU[uint64, int]
-	size  int
-	limit int
-	// past are the running counts of the last ticks, for reports.
-	past []int
+	// work is the actual work in flight, in output tokens.
+	work         float64
+	cache        *simplelru.LRU[uint64, int]
+	cachedTokens int
+	cacheLimit   int
+	// recentRunning holds the running counts of the last ticks, the oldest first.
+	recentRunning []int
 }
 
 func newTarget(i int, s Size) *target {
-	t := &target{index: i, capacity: s.Capacity, limit: s.CacheTokens}
-	t.empty()
+	t := &target{index: i, capacity: s.Capacity, cacheLimit: s.CacheTokens}
+	t.clearCache()
 
 	return t
 }
 
-// empty starts the target's cache anew.
-func (t *target) empty() {
-	t.size = 0
-	// The bound in tokens is kept by store, so the count is out of reach.
-	t.cache, _ = simplelru.NewLRU[uint64, int](math.MaxInt32, func(_ uint64, n int) { t.size -= n })
+func (t *target) clearCache() {
+	t.cachedTokens = 0
+	// store enforces the limit in tokens, so the limit of entries is never reached.
+	t.cache, _ = simplelru.NewLRU[uint64, int](math.MaxInt32, func(_ uint64, n int) { t.cachedTokens -= n })
 }
 
-// lookup returns how many tokens of a prefix are cached.
+// lookup returns the number of cached tokens of a prefix.
 func (t *target) lookup(key uint64) int {
 	n, _ := t.cache.Get(key)
 
 	return n
 }
 
-// store caches a prefix up to a length.
+// store caches n tokens of a prefix and evicts the least recently used prefixes over
+// the limit.
 func (t *target) store(key uint64, n int) {
 	o, _ := t.cache.Peek(key)
 	t.cache.Add(key, n)
-	t.size += n - o
+	t.cachedTokens += n - o
 
-	for t.size > t.limit {
+	for t.cachedTokens > t.cacheLimit {
 		t.cache.RemoveOldest()
 	}
 }
 
-// serve starts a request and returns how long it takes and how many prompt
-// tokens came from the cache.
-func (t *target) serve(q *request) (time.Duration, int) {
+// start starts a request and returns its duration and the number of prompt tokens
+// that were cached.
+func (t *target) start(q *request) (time.Duration, int) {
 	h := t.lookup(q.chat.key)
 	if h == 0 {
-		h = min(t.lookup(q.chat.customer.prefix), q.chat.customer.shared)
+		h = min(t.lookup(q.chat.customer.prefix), q.chat.customer.sharedTokens)
 	}
 
 	h = min(h, q.prompt)
-	t.store(q.chat.customer.prefix, q.chat.customer.shared)
+	t.store(q.chat.customer.prefix, q.chat.customer.sharedTokens)
 	t.store(q.chat.key, q.prompt+q.output)
 
 	u := q.prompt - h
@@ -88,7 +88,8 @@
 	t.work += q.work
 
 	d := time.Duration(u)*prefillTime + time.Duration(q.output)*tokenTime
-	// Beyond its capacity a request waits for others to end.
+	// A request that starts over capacity takes longer in proportion to the excess,
+	// since it waits for others.
 	if t.running > t.capacity {
 		d = d * time.Duration(t.running) / time.Duration(t.capacity)
 	}
@@ -101,20 +102,20 @@
 	t.work -= q.work
 }
 
-// tick notes the running count, from which report reads later.
+// tick records the running count, which reportedRunning returns reportLag later.
 func (t *target) tick() {
-	t.past = append(t.past, t.running)
+	t.recentRunning = append(t.recentRunning, t.running)
 
-	if n := int(reportLag / tickEvery); len(t.past) > n {
-		t.past = t.past[len(t.past)-n:]
+	if n := int(reportLag / tickInterval); len(t.recentRunning) > n {
+		t.recentRunning = t.recentRunning[len(t.recentRunning)-n:]
 	}
 }
 
-// report returns the running count as routers see it, late.
-func (t *target) report() int {
-	if len(t.past) == 0 {
+// reportedRunning returns the running count that routers know, reportLag old.
+func (t *target) reportedRunning() int {
+	if len(t.recentRunning) == 0 {
 		return 0
 	}
 
-	return t.past[0]
+	return t.recentRunning[0]
 }
--- a/internal/bencher/world.go
+++ b/internal/bencher/world.go
@@ -11,43 +11,45 @@
 )
 
 const (
-	tickEvery = 500 * time.Millisecond
-	// troubleEvery is the time between two losses under churn.
-	troubleEvery = 20 * time.Second
-	skewUnit     = 1000
-	skewMost     = 100 * skewUnit
-	digits       = 3
-	// leastRunning is the mean of requests on a target below which one request
-	// more or less says nothing about skew.
-	leastRunning = 10.0
-	quietPart    = 15
-	surgeStart   = 0.6
-	surgeEnd     = 0.85
+	tickInterval = 500 * time.Millisecond
+	// churnInterval is the time between two faults under Churn.
+	churnInterval     = 20 * time.Second
+	skewUnit          = 1000
+	maxSkew           = 100 * skewUnit
+	significantDigits = 3
+	// minMeanRunning is the mean number of requests per target below which the skew is
+	// not sampled, since one request more or less would dominate it.
+	minMeanRunning = 10.0
+	quietDivisor   = 15
+	// surgeStart and surgeEnd bound the window of a surge or a network partition, as
+	// fractions of the simulated time.
+	surgeStart = 0.6
+	surgeEnd   = 0.85
 )
 
-// policy chooses targets.
+// policy selects targets.
 type policy interface {
-	// pick returns the target for a request; nil and a time to have it wait and
-	// come again, or nil and zero to refuse it.
+	// pick returns the target for a request. With no target, a positive delay means
+	// that the request waits and is tried again, and zero that it is refused.
 	pick(w *world, q *request) (*target, time.Duration)
-	// done is told that a request ended.
+	// done is called when a request completed.
 	done(w *world, q *request)
-	// tick is called every tickEvery.
+	// tick is called every tickInterval.
 	tick(w *world)
-	// lose is told that a router is gone.
-	lose(w *world, router int)
+	// replaceRouter is called when a router's process is replaced by a new one.
+	replaceRouter(w *world, router int)
 }
 
-// router is an entry instance.
+// router is a simulated router, at which requests enter the fleet.
 type router struct {
 	id     uint64
 	region int
 	centre int
-	// sent counts the control bytes that go out of and into it.
+	// bytes counts the control bytes that it sent and received.
 	bytes int
 }
 
-// world is the fleet with its targets and callers.
+// world is the state of a simulation: the fleet, its targets and its callers.
 type world struct {
 	size      Size
 	condition Condition
@@ -55,41 +57,42 @@
 	random    *rand.Rand
 	traffic   *traffic
 	targets   []*target
-	// pools are the targets of each model in each region.
+	// pools holds the targets by model and region.
 	pools   map[[2]int][]*target
 	routers []*router
-	running flights
-	// cut is the data centre that is cut off, or -1.
-	cut    int
-	healed bool
-	policy policy
-	result *Result
-	cpu    time.Duration
-	losses int
-	skew   *hdrhistogram.Histogram
-	work   *hdrhistogram.Histogram
-	// surge is the surge's rate over the usual.
-	surge float64
+	events  eventQueue
+	// partitioned is the data centre isolated by a network partition, or -1.
+	// reconnected is true only in the tick at which the partition ends.
+	partitioned int
+	reconnected bool
+	policy      policy
+	result      *Result
+	cpu         time.Duration
+	losses      int
+	skew        *hdrhistogram.Histogram
+	work        *hdrhistogram.Histogram
+	// surgeRatio is the ratio of a surge's additional rate to the usual rate.
+	surgeRatio float64
 }
 
 func newWorld(s Size, c Condition, seed uint64) *world {
 	r := rand.New(rand.NewPCG(seed, uint64(s.Targets))) //nolint:gosec // Reproducible.
 	w := &world{
-		size: s, condition: c, random: r, traffic: newTraffic(s, r), cut: -1,
+		size: s, condition: c, random: r, traffic: newTraffic(s, r), partitioned: -1,
 		pools: make(map[[2]int][]*target), result: &Result{Case: s.Name + "/" + string(c)},
-		skew: hdrhistogram.New(1, skewMost, digits), work: hdrhistogram.New(1, skewMost, digits),
+		skew: hdrhistogram.New(1, maxSkew, significantDigits), work: hdrhistogram.New(1, maxSkew, significantDigits),
 	}
 
-	p := spread(s.Targets, s.Models)
-	w.surge = float64(p[0]) / float64(s.Targets)
+	p := distribute(s.Targets, s.Models)
+	w.surgeRatio = float64(p[0]) / float64(s.Targets)
 	i := 0
 
 	for m, n := range p {
 		for range n {
 			t := newTarget(i, s)
 			t.model = m
-			t.centre = i % s.Centres
-			t.region = t.centre * s.Regions / s.Centres
+			t.centre = i % s.DataCentres
+			t.region = t.centre * s.Regions / s.DataCentres
 			w.targets = append(w.targets, t)
 			k := [2]int{m, t.region}
 			w.pools[k] = append(w.pools[k], t)
@@ -98,16 +101,16 @@
 	}
 
 	for i := range s.Routers {
-		c := i % s.Centres
-		w.routers = append(w.routers, &router{id: uint64(i + 1), centre: c, region: c * s.Regions / s.Centres})
+		c := i % s.DataCentres
+		w.routers = append(w.routers, &router{id: uint64(i + 1), centre: c, region: c * s.Regions / s.DataCentres})
 	}
 
 	return w
 }
 
-// spread divides n among m parts by a power law, each at least four, as models
-// are used.
-func spread(n, m int) []int {
+// distribute divides n targets among m models in proportion to the models' popularity,
+// which follows a power law. Each model gets at least four.
+func distribute(n, m int) []int {
 	w := 0.0
 	for i := range m {
 		w += 1 / float64(i+1)
@@ -123,15 +126,16 @@
 
 func customerName(i int) string { return "customer-" + strconv.Itoa(i) }
 
-// run follows the fleet to its end.
+// run processes arrivals, ticks and events in order of time until the end of the
+// simulation.
 func (w *world) run() {
 	a := time.Duration(0)
-	t := tickEvery
+	t := tickInterval
 
-	for w.now < w.size.Length {
-		e := w.size.Length
-		if len(w.running) > 0 {
-			e = min(e, w.running[0].ends)
+	for w.now < w.size.Duration {
+		e := w.size.Duration
+		if len(w.events) > 0 {
+			e = min(e, w.events[0].at)
 		}
 
 		w.now = min(a, t, e)
@@ -144,66 +148,67 @@
 		case t:
 			w.tick()
 
-			t += tickEvery
+			t += tickInterval
 		default:
-			w.end()
+			w.completeNext()
 		}
 	}
 }
 
 func (w *world) rate() float64 {
 	if w.condition == Quiet {
-		return w.size.Rate / quietPart
+		return w.size.Rate / quietDivisor
 	}
 
 	if w.surging() {
-		return (1 + w.surge) * w.size.Rate
+		return (1 + w.surgeRatio) * w.size.Rate
 	}
 
 	return w.size.Rate
 }
 
 func (w *world) surging() bool {
-	p := float64(w.now) / float64(w.size.Length)
+	p := float64(w.now) / float64(w.size.Duration)
 
 	return w.condition == Surge && p > surgeStart && p < surgeEnd
 }
 
-// arrive brings a request to a random router of its region.
+// arrive generates a request and sends it to a random router of its region.
 func (w *world) arrive() {
 	var c *customer
-	if w.surging() && w.random.Float64() < w.surge/(1+w.surge) {
-		l := w.traffic.surgers()
+	if w.surging() && w.random.Float64() < w.surgeRatio/(1+w.surgeRatio) {
+		l := w.traffic.surgeCustomers()
 		c = l[w.random.IntN(len(l))]
 	}
 
-	q := w.traffic.make(c)
-	q.router = w.entry(q.chat.region)
-	q.surge = w.condition == Surge && slices.Contains(w.traffic.surgers(), q.chat.customer)
-	w.place(q)
+	q := w.traffic.nextRequest(c)
+	q.router = w.randomRouter(q.chat.region)
+	q.surge = w.condition == Surge && slices.Contains(w.traffic.surgeCustomers(), q.chat.customer)
+	w.startRequest(q)
 }
 
-// place finds a target for a request and starts it there.
-func (w *world) place(q *request) {
+// startRequest selects a target for a request and starts it there, or schedules the
+// next attempt, or refuses it.
+func (w *world) startRequest(q *request) {
 	s := time.Now()
 	t, d := w.policy.pick(w, q)
 	w.cpu += time.Since(s)
 
 	if t == nil && d > 0 {
 		q.waited += d
-		heap.Push(&w.running, flight{ends: w.now + d, request: q})
+		heap.Push(&w.events, event{at: w.now + d, request: q})
 
 		return
 	}
 
-	w.count(q, t)
+	w.countRequest(q, t)
 
 	if t == nil {
 		return
 	}
 
 	q.target = t
-	e, h := t.serve(q)
+	e, h := t.start(q)
 
 	if w.measuring() {
 		w.result.waited += q.waited
@@ -211,10 +216,10 @@
 		w.result.reused[w.phase()] += min(h, q.reusable)
 	}
 
-	heap.Push(&w.running, flight{ends: w.now + e, request: q})
+	heap.Push(&w.events, event{at: w.now + e, request: q})
 }
 
-func (w *world) entry(region int) int {
+func (w *world) randomRouter(region int) int {
 	for {
 		i := w.random.IntN(len(w.routers))
 		if w.routers[i].region == region {
@@ -223,7 +228,7 @@
 	}
 }
 
-func (w *world) count(q *request, t *target) {
+func (w *world) countRequest(q *request, t *target) {
 	if !w.measuring() {
 		return
 	}
@@ -238,13 +243,14 @@
 	}
 
 	if q.surge {
-		w.result.surged++
+		w.result.surgeRequests++
 	}
 }
 
-// phase is 0 before the time of a surge or cut, 1 during it and 2 after it.
+// phase returns 0 before, 1 during and 2 after the window of a surge or a network
+// partition.
 func (w *world) phase() int {
-	p := float64(w.now) / float64(w.size.Length)
+	p := float64(w.now) / float64(w.size.Duration)
 
 	switch {
 	case p <= surgeStart:
@@ -256,32 +262,33 @@
 	}
 }
 
-func (w *world) end() {
-	f, _ := heap.Pop(&w.running).(flight)
-	if f.request.target == nil {
-		w.place(f.request)
+func (w *world) completeNext() {
+	e, _ := heap.Pop(&w.events).(event)
+	if e.request.target == nil {
+		w.startRequest(e.request)
 
 		return
 	}
 
-	f.request.target.finish(f.request)
+	e.request.target.finish(e.request)
 
 	s := time.Now()
-	w.policy.done(w, f.request)
+	w.policy.done(w, e.request)
 	w.cpu += time.Since(s)
 }
 
 func (w *world) measuring() bool {
-	return w.now >= w.size.Warm
+	return w.now >= w.size.WarmUp
 }
 
-// tick causes the condition's trouble and samples the skew.
+// tick simulates the condition's faults, runs the policy's periodic work and samples
+// the skew.
 func (w *world) tick() {
 	for _, t := range w.targets {
 		t.tick()
 	}
 
-	w.trouble()
+	w.applyCondition()
 	w.policy.tick(w)
 
 	if w.measuring() {
--- a/internal/commander/load.go
+++ b/internal/commander/load.go
@@ -32,8 +32,8 @@
 		{Name: "customers", Default: "member-1,member-2,member-3", Allowed: "names with commas between them", Help: "customers of the chats", Read: resolver.Free(&l.customers)},
 		{Name: "model", Default: "restock", Allowed: "1 to 63 bytes", Help: "model of the chats", Read: resolver.Text(&l.Model)},
 		{Name: "tokens", Default: "40", Allowed: "1 to 4096", Help: "longest answer asked for", Read: resolver.Int(&l.Tokens, 1, 4096)},
-		{Name: "booking-part", Default: "0.2", Allowed: "0 to 1", Help: "part of the calls that are bookings", Read: resolver.Float(&l.BookingPart, 0, 1)},
-		{Name: "repeat-part", Default: "0.1", Allowed: "0 to 1", Help: "part of the bookings that are sent twice at once", Read: resolver.Float(&l.RepeatPart, 0, 1)},
+		{Name: "booking-part", Default: "0.2", Allowed: "0 to 1", Help: "part of the calls that are bookings", Read: resolver.Float(&l.BookingFraction, 0, 1)},
+		{Name: "repeat-part", Default: "0.1", Allowed: "0 to 1", Help: "part of the bookings that are sent twice at once", Read: resolver.Float(&l.DuplicateFraction, 0, 1)},
 		{Name: "call-deadline", Default: "20s", Allowed: "1s to 10m", Help: "how long a caller waits", Read: resolver.Duration(&l.Deadline, time.Second, 10*time.Minute)},
 		{Name: "seed", Default: "1", Allowed: "0 to 2147483647", Help: "seed of the load", Read: resolver.Int(&l.seed, 0, 1<<31-1)},
 		{Name: "output", Default: "", Allowed: "a file's name, or empty", Help: "where the result goes as JSON", Read: resolver.Free(&l.output)},
@@ -88,7 +88,7 @@
 	o := r.Outcomes
 	_, err = fmt.Fprintf(c.OutOrStdout(),
 		"%s\nload: served=%d refused=%d failed=%d cut=%d wrong=%d reuse=%.3f skewMean=%.2f skewP99=%.2f\n",
-		b, o[driver.Served], o[driver.Refused], o[driver.Failed], o[driver.Cut], o[driver.Wrong], r.Reuse, r.SkewMean, r.SkewP99)
+		b, o[driver.Served], o[driver.Refused], o[driver.Failed], o[driver.Interrupted], o[driver.Wrong], r.Reuse, r.SkewMean, r.SkewP99)
 
 	return err
 }
--- a/internal/driver/booking.go
+++ b/internal/driver/booking.go
@@ -14,14 +14,15 @@
 	"github.com/auburntray/auburntray/internal/exchanger"
 )
 
-// book sends a booking, sometimes twice at once, and checks that it ran once.
-func (d *Driver) book(c context.Context) {
+// sendBooking sends a booking, sometimes twice concurrently with the same idempotency
+// key, and checks that it ran only once.
+func (d *Driver) sendBooking(c context.Context) {
 	n := 1
-	if d.chance(d.settings.RepeatPart) {
+	if d.chance(d.settings.DuplicateFraction) {
 		n++
 	}
 
-	k := "booking-" + strconv.FormatUint(d.settings.Seed, 10) + "-" + strconv.Itoa(d.intN(1<<62)) //nolint:mnd // A name.
+	k := "booking-" + strconv.FormatUint(d.settings.Seed, 10) + "-" + strconv.Itoa(d.intN(1<<62)) //nolint:mnd // A random key.
 	u := d.settings.Customers[d.intN(len(d.settings.Customers))]
 
 	var g sync.WaitGroup
@@ -31,20 +32,20 @@
 
 		go func() {
 			defer g.Done()
-			d.bookOnce(c, u, k)
+			d.sendBookingOnce(c, u, k)
 		}()
 	}
 
 	g.Wait()
 }
 
-func (d *Driver) bookOnce(c context.Context, customer, key string) {
+func (d *Driver) sendBookingOnce(c context.Context, customer, key string) {
 	h := http.Header{"Content-Type": {"application/json"}}
 	h.Set(exchanger.HeaderCustomer, customer)
 	h.Set(exchanger.HeaderKey, key)
 	h.Set(exchanger.HeaderDeadline, d.settings.Deadline.String())
 
-	a := d.send(c, call{path: "/orders/riders", body: []byte(`{"rider":"` + key + `"}`), header: h, keyed: true}, readWhole)
+	a := d.send(c, call{path: "/orders/riders", body: []byte(`{"rider":"` + key + `"}`), header: h, keyed: true}, readBody)
 
 	var o struct {
 		Key        string `json:"key"`
@@ -58,10 +59,10 @@
 	d.result.add(a.outcome, a.code, 0, a.total)
 }
 
-func readWhole(r *http.Response) ([]byte, time.Time, error) {
+func readBody(r *http.Response) ([]byte, time.Time, error) {
 	b, err := io.ReadAll(r.Body)
 	if err != nil {
-		return nil, time.Time{}, errors.Mark(err, errCut)
+		return nil, time.Time{}, errors.Mark(err, errInterrupted)
 	}
 
 	return b, time.Now(), nil
--- a/internal/driver/call.go
+++ b/internal/driver/call.go
@@ -16,23 +16,25 @@
 	"github.com/auburntray/auburntray/internal/sleeper"
 )
 
-// cutPause is how long a caller waits before it sends a keyed call again.
-const cutPause = 200 * time.Millisecond
+// interruptedRetryDelay is the delay before a keyed call is retried whose connection
+// was interrupted.
+const interruptedRetryDelay = 200 * time.Millisecond
 
-// errCut means that a connection or an answer ended before its time.
-var errCut = errors.New("cut")
+// errInterrupted means that a connection or an answer ended prematurely.
+var errInterrupted = errors.New("connection or answer ended prematurely")
 
-// call is one call that is sent until it is served or its deadline passes.
+// call is a call with its retries, which end when it is served, fails for good or
+// its deadline would pass.
 type call struct {
 	path   string
 	body   []byte
 	header http.Header
-	// keyed says that the call carries an idempotency key, so that it may be
-	// sent again after it was cut.
+	// keyed means that the call carries an idempotency key, so that it may be
+	// retried after its connection was interrupted.
 	keyed bool
 }
 
-// answer is how a call ended.
+// answer is the final result of a call.
 type answer struct {
 	outcome Outcome
 	code    string
@@ -43,13 +45,15 @@
 	total   time.Duration
 }
 
-// read reads an answer's body and returns it with the time of its first byte.
-type read func(r *http.Response) ([]byte, time.Time, error)
+// bodyReader reads an answer's body and returns it with the time at which its
+// content began.
+type bodyReader func(r *http.Response) ([]byte, time.Time, error)
 
-// send sends a call. After a "not run", and only then, it comes back when it
-// was told to; a connection that is refused goes to the next router, as the
-// balancer would send it.
-func (d *Driver) send(c context.Context, q call, f read) answer {
+// send sends a call and retries it until the deadline: after the requested delay if
+// the answer is "not run" or "in progress", at the next router if the connection is
+// refused (as a load balancer would), and after interruptedRetryDelay if a keyed call
+// was interrupted before it was answered.
+func (d *Driver) send(c context.Context, q call, f bodyReader) answer {
 	b := time.Now()
 	x, stop := context.WithTimeout(c, d.settings.Deadline)
 
@@ -64,13 +68,13 @@
 			return a
 		}
 
-		d.result.retried()
+		d.result.addRetry()
 		sleeper.Sleep(x, w)
 	}
 }
 
-func (d *Driver) try(c context.Context, q call, f read) (answer, time.Duration, bool) {
-	u := "http://" + d.address().String() + q.path
+func (d *Driver) try(c context.Context, q call, f bodyReader) (answer, time.Duration, bool) {
+	u := "http://" + d.nextAddress().String() + q.path
 
 	r, err := http.NewRequestWithContext(c, http.MethodPost, u, bytes.NewReader(q.body))
 	if err != nil {
@@ -88,37 +92,38 @@
 			return answer{outcome: Refused, code: "dial"}, time.Millisecond, true
 		}
 
-		d.result.example(err)
+		d.result.addExample(err)
 
-		return answer{outcome: Cut, code: "connection"}, cutPause, q.keyed
+		return answer{outcome: Interrupted, code: "connection"}, interruptedRetryDelay, q.keyed
 	}
 
 	defer func() { _ = p.Body.Close() }()
 
 	if o := p.Header.Get(exchanger.HeaderOutcome); o != string(exchanger.Ran) {
-		return refused(p, o)
+		return parseError(p, o)
 	}
 
 	t := p.Header.Get(exchanger.HeaderTarget)
-	d.flights.add(t, 1)
+	d.inFlight.add(t, 1)
 
-	defer d.flights.add(t, -1)
+	defer d.inFlight.add(t, -1)
 
 	b, first, err := f(p)
 	if err != nil {
-		d.result.example(err)
+		d.result.addExample(err)
 
-		return answer{outcome: Cut, code: "answer"}, 0, false
+		return answer{outcome: Interrupted, code: "answer"}, 0, false
 	}
 
 	return answer{outcome: Served, status: p.StatusCode, header: p.Header, body: b, first: first.Sub(s)}, 0, false
 }
 
-// refused reads an answer that is no target's.
-func refused(p *http.Response, outcome string) (answer, time.Duration, bool) {
-	const most = 64 << 10
+// parseError reads an error answer of a router, and returns the delay before a retry
+// and whether to retry.
+func parseError(p *http.Response, outcome string) (answer, time.Duration, bool) {
+	const maxBytes = 64 << 10
 
-	b, _ := io.ReadAll(io.LimitReader(p.Body, most))
+	b, _ := io.ReadAll(io.LimitReader(p.Body, maxBytes))
 
 	var e struct {
 		Error struct {
@@ -139,7 +144,8 @@
 		a.outcome = Refused
 	}
 
-	// "In progress" asks to come back for the answer of the same call.
+	// "In progress" tells the caller to retry later to receive the answer of the
+	// same call.
 	r := w > 0 && (a.outcome == Refused || e.Error.Code == string(exchanger.CodeInProgress))
 
 	return a, w, r
--- a/internal/driver/chat.go
+++ b/internal/driver/chat.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	chartLines   = 60
-	historyLimit = 24
+	promptLines        = 60
+	maxHistoryMessages = 24
 )
 
 type message struct {
@@ -26,28 +26,28 @@
 	Content string `json:"content"`
 }
 
-// chat is a chat that returns, longer each time.
+// chat is a multi-turn chat, whose prompt grows with each turn.
 type chat struct {
-	name     string
-	customer string
-	place    string
-	turn     int
-	messages []message
+	name      string
+	customer  string
+	placement string
+	turn      int
+	messages  []message
 }
 
 func newChat(i int, s Settings) *chat {
 	c := s.Customers[i%len(s.Customers)]
-	// The chats of a customer share the beginning of their prompts.
-	p := strings.Repeat("Line of the chart of accounts of "+c+". ", chartLines)
+	// The chats of a customer share a prompt prefix.
+	p := strings.Repeat("Line of the chart of accounts of "+c+". ", promptLines)
 
 	return &chat{name: fmt.Sprintf("chat-%d", i), customer: c, messages: []message{{Role: "system", Content: p}}}
 }
 
-// talk sends the chat's next message and checks the answer.
-func (d *Driver) talk(c context.Context, h *chat) {
+// sendTurn sends the chat's next message and validates the answer.
+func (d *Driver) sendTurn(c context.Context, h *chat) {
 	h.turn++
 	n := 1 + d.intN(max(d.settings.Tokens, 1))
-	q := fmt.Sprintf("%s asks question %d: %s", h.name, h.turn, strings.Repeat("Which cells fit? ", 1+d.intN(20))) //nolint:mnd // A spread of lengths.
+	q := fmt.Sprintf("%s asks question %d: %s", h.name, h.turn, strings.Repeat("Which cells fit? ", 1+d.intN(20))) //nolint:mnd // Random length.
 	h.messages = append(h.messages, message{Role: "user", Content: q})
 
 	b, err := json.Marshal(map[string]any{
@@ -64,8 +64,8 @@
 	x.Set(exchanger.HeaderChat, h.name)
 	x.Set(exchanger.HeaderDeadline, d.settings.Deadline.String())
 
-	if h.place != "" {
-		x.Set(exchanger.HeaderPlace, h.place)
+	if h.placement != "" {
+		x.Set(exchanger.HeaderPlace, h.placement)
 	}
 
 	a := d.send(c, call{path: "/v1/chat/completions", body: b, header: x}, d.readStream)
@@ -74,26 +74,29 @@
 	}
 
 	d.result.add(a.outcome, a.code, a.first, a.total)
-	h.note(a)
+	h.recordAnswer(a)
 }
 
-// note takes the answer into the chat, or the question out of it.
-func (h *chat) note(a answer) {
+// recordAnswer appends a served answer to the chat's history; otherwise it removes
+// the message that was not answered. A history over the limit is reset to the system
+// message.
+func (h *chat) recordAnswer(a answer) {
 	if a.outcome != Served {
 		h.messages = h.messages[:len(h.messages)-1]
 
 		return
 	}
 
-	h.place = a.header.Get(exchanger.HeaderPlace)
+	h.placement = a.header.Get(exchanger.HeaderPlace)
 	h.messages = append(h.messages, message{Role: "assistant", Content: string(a.body)})
 
-	if len(h.messages) > historyLimit {
+	if len(h.messages) > maxHistoryMessages {
 		h.messages = h.messages[:1]
 	}
 }
 
-// readStream reads a streamed answer. One that ends without its end is cut.
+// readStream reads a streamed answer. It fails with errInterrupted if the stream
+// ends without its final event.
 func (d *Driver) readStream(r *http.Response) ([]byte, time.Time, error) {
 	var (
 		b     strings.Builder
@@ -105,18 +108,18 @@
 	for {
 		v, err := e.Next()
 		if err != nil {
-			return nil, first, errors.Mark(err, errCut)
+			return nil, first, errors.Mark(err, errInterrupted)
 		}
 
 		if v.Prompt > 0 {
-			d.result.tokens(v.Prompt, v.Cached)
+			d.result.addTokens(v.Prompt, v.Cached)
 		}
 
 		if v.Done {
-			// Reading on to the end tells a normal end from a connection
-			// that was closed behind the last event.
+			// Reading up to EOF detects a connection that was closed abnormally
+			// after the last event.
 			if _, err := io.Copy(io.Discard, r.Body); err != nil {
-				return nil, first, errors.Mark(err, errCut)
+				return nil, first, errors.Mark(err, errInterrupted)
 			}
 
 			return []byte(b.String()), first, nil
--- a/internal/driver/driver.go
+++ b/internal/driver/driver.go
@@ -1,5 +1,5 @@
-// Package driver sends a bounded load of returning chats and of bookings that
-// may not be repeated at a running fleet, and checks every answer.
+// Package driver is a load generator: it sends a bounded load of multi-turn chats
+// and of non-repeatable bookings to a running fleet and validates every answer.
 package driver
 
 import (
@@ -17,55 +17,56 @@
 	"golang.org/x/time/rate"
 )
 
-// ErrAddress means that the load is aimed at an address that is not this
-// machine's own.
-var ErrAddress = errors.New("load goes to loopback addresses only")
+// ErrAddress means that no address or no customer is given, or that an address is
+// not a loopback address.
+var ErrAddress = errors.New("load is sent to loopback addresses only")
 
-// Settings says what load is sent. All of it ends after Duration and the
-// answers to what was sent by then.
+// Settings configures the load. No call starts after Duration; Run then waits for
+// the calls in flight.
 type Settings struct {
 	Addresses []netip.AddrPort
 	Duration  time.Duration
-	// Rate is how many calls start a second.
+	// Rate is the number of calls started per second.
 	Rate int
-	// Chats is how many chats return in turn.
+	// Chats is the number of concurrent multi-turn chats.
 	Chats     int
 	Customers []string
 	Model     string
-	// Tokens is the longest answer asked for.
+	// Tokens is the maximum number of tokens requested for an answer.
 	Tokens int
-	// BookingPart is the part of the calls that are bookings, from 0 to 1.
-	BookingPart float64
-	// RepeatPart is the part of the bookings that are sent twice at once, with
-	// one key, through different routers.
-	RepeatPart float64
-	Deadline   time.Duration
-	Seed       uint64
-	// Progress takes a line a second; nil shows none.
+	// BookingFraction is the fraction of the calls that are bookings, from 0 to 1.
+	BookingFraction float64
+	// DuplicateFraction is the fraction of the bookings that are sent twice concurrently,
+	// with one idempotency key, through different routers.
+	DuplicateFraction float64
+	Deadline          time.Duration
+	Seed              uint64
+	// Progress receives a progress line per second; nil disables it.
 	Progress io.Writer
 }
 
-// Driver sends the load. It is used once.
+// Driver sends the load. It runs only once.
 type Driver struct {
 	settings Settings
 	client   *http.Client
 	result   *Result
-	flights  *flights
+	inFlight *inFlight
 
 	mu     sync.Mutex
 	random *rand.Rand
 	chats  []*chat
 	next   int
-	// unready are the routers that the balancer leaves out.
+	// unready holds the routers that failed the last readiness check.
 	unready map[netip.AddrPort]bool
 }
 
 const (
-	connections = 256
-	dialTimeout = time.Second
+	maxIdleConnections = 256
+	dialTimeout        = time.Second
 )
 
-// New returns a Driver. It fails with ErrAddress.
+// New returns a Driver. It fails with ErrAddress if the addresses or customers are
+// invalid.
 func New(s Settings) (*Driver, error) {
 	if len(s.Addresses) == 0 || len(s.Customers) == 0 {
 		return nil, errors.Mark(errors.New("no address or no customer"), ErrAddress)
@@ -80,12 +81,12 @@
 	d := &Driver{
 		settings: s,
 		result:   newResult(),
-		flights:  newFlights(),
+		inFlight: newInFlight(),
 		unready:  make(map[netip.AddrPort]bool),
 		random:   rand.New(rand.NewPCG(s.Seed, 0)), //nolint:gosec // Reproducible load.
 		client: &http.Client{Transport: &http.Transport{
 			DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
-			MaxIdleConnsPerHost: connections,
+			MaxIdleConnsPerHost: maxIdleConnections,
 		}},
 	}
 
@@ -96,41 +97,42 @@
 	return d, nil
 }
 
-// Run sends the load and returns what came of it.
+// Run sends the load and returns the result. When c ends, calls in flight are
+// cancelled.
 func (d *Driver) Run(c context.Context) *Result {
 	x, stop := context.WithTimeout(c, d.settings.Duration)
 	defer stop()
 
 	var g sync.WaitGroup
 
-	g.Go(func() { d.watch(x) })
-	g.Go(func() { d.balance(x) })
+	g.Go(func() { d.monitor(x) })
+	g.Go(func() { d.pollReadiness(x) })
 
 	l := rate.NewLimiter(rate.Limit(d.settings.Rate), 1)
 
 	for l.Wait(x) == nil {
-		g.Go(func() { d.one(c) })
+		g.Go(func() { d.sendNext(c) })
 	}
 
 	<-x.Done()
 	g.Wait()
 	d.client.CloseIdleConnections()
-	d.result.finish(d.flights)
+	d.result.finish(d.inFlight)
 
 	return d.result
 }
 
-// one sends one call and what it repeats.
-func (d *Driver) one(c context.Context) {
-	if d.chance(d.settings.BookingPart) {
-		d.book(c)
+// sendNext sends one booking or chat turn, including its retries.
+func (d *Driver) sendNext(c context.Context) {
+	if d.chance(d.settings.BookingFraction) {
+		d.sendBooking(c)
 
 		return
 	}
 
-	if h := d.takeChat(); h != nil {
-		d.talk(c, h)
-		d.returnChat(h)
+	if h := d.acquireChat(); h != nil {
+		d.sendTurn(c, h)
+		d.releaseChat(h)
 	}
 }
 
@@ -148,8 +150,9 @@
 	return d.random.IntN(n)
 }
 
-// takeChat takes a random chat that has no call in progress, or none.
-func (d *Driver) takeChat() *chat {
+// acquireChat removes and returns a random chat that has no call in progress. It
+// returns nil if there is none.
+func (d *Driver) acquireChat() *chat {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
@@ -165,16 +168,16 @@
 	return h
 }
 
-func (d *Driver) returnChat(h *chat) {
+func (d *Driver) releaseChat(h *chat) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
 	d.chats = append(d.chats, h)
 }
 
-// address returns the address of the next router that is ready, as a balancer
-// that goes round would; when none is, of the next.
-func (d *Driver) address() netip.AddrPort {
+// nextAddress returns the address of the next ready router in round-robin order, as
+// a load balancer would. If no router is ready, it returns the next one regardless.
+func (d *Driver) nextAddress() netip.AddrPort {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 
@@ -191,19 +194,19 @@
 	return l[d.next%len(l)]
 }
 
-// balance asks the routers whether they are ready, as the platform's balancer
-// does, until the context ends.
-func (d *Driver) balance(c context.Context) {
-	const askEvery = 200 * time.Millisecond
+// pollReadiness checks the readiness of all routers periodically, as the platform's
+// load balancer does, until the context ends.
+func (d *Driver) pollReadiness(c context.Context) {
+	const pollInterval = 200 * time.Millisecond
 
-	t := time.NewTicker(askEvery)
+	t := time.NewTicker(pollInterval)
 	defer t.Stop()
 
 	for {
 		select {
 		case <-t.C:
 			for _, a := range d.settings.Addresses {
-				d.ask(c, a)
+				d.checkReady(c, a)
 			}
 		case <-c.Done():
 			return
@@ -211,7 +214,7 @@
 	}
 }
 
-func (d *Driver) ask(c context.Context, a netip.AddrPort) {
+func (d *Driver) checkReady(c context.Context, a netip.AddrPort) {
 	q, err := http.NewRequestWithContext(c, http.MethodGet, "http://"+a.String()+"/readyz", nil)
 	if err != nil {
 		return
@@ -228,11 +231,11 @@
 	d.unready[a] = err != nil || r.StatusCode != http.StatusOK
 }
 
-// watch samples the skew and shows the progress until the context ends.
-func (d *Driver) watch(c context.Context) {
-	const sampleEvery = 100 * time.Millisecond
+// monitor samples the load skew and writes progress lines until the context ends.
+func (d *Driver) monitor(c context.Context) {
+	const sampleInterval = 100 * time.Millisecond
 
-	t := time.NewTicker(sampleEvery)
+	t := time.NewTicker(sampleInterval)
 	defer t.Stop()
 
 	n := 0
@@ -240,12 +243,12 @@
 	for {
 		select {
 		case <-t.C:
-			d.flights.sample()
+			d.inFlight.sample()
 
 			n++
 
 			if w := d.settings.Progress; w != nil && n%10 == 0 {
-				_, _ = fmt.Fprintln(w, d.result.line())
+				_, _ = fmt.Fprintln(w, d.result.progressLine())
 			}
 		case <-c.Done():
 			return
--- a/internal/driver/driver_test.go
+++ b/internal/driver/driver_test.go
@@ -10,14 +10,15 @@
 	"github.com/auburntray/auburntray/internal/driver"
 )
 
-// A load tool in the wrong hands is an attack; it sends to this machine only.
+// A load generator aimed at another machine would be an attack, so all addresses
+// other than loopback addresses are rejected.
 func TestLoadGoesToLoopbackOnly(t *testing.T) {
 	for name, tc := range map[string]struct {
 		address string
 		ok      bool
 	}{
-		"loopback": {"127.0.0.1:80", true}, "loopback 6": {"[::1]:80", true},
-		"private": {"10.0.0.1:80", false}, "public": {"192.0.2.1:80", false}, "any": {"0.0.0.0:80", false},
+		"loopback": {"127.0.0.1:80", true}, "IPv6 loopback": {"[::1]:80", true},
+		"private": {"10.0.0.1:80", false}, "public": {"192.0.2.1:80", false}, "unspecified": {"0.0.0.0:80", false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
--- a/internal/driver/result.go
+++ b/internal/driver/result.go
@@ -8,24 +8,26 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Outcome is how one call ended for its caller.
+// Outcome is the final result of a call as its caller saw it.
 type Outcome string
 
-// The outcomes.
+// Outcomes.
 const (
-	// Served is a whole answer that belongs to the call.
+	// Served is a complete answer that matches the call.
 	Served Outcome = "served"
-	// Refused is a true "not run" that the caller gave up on.
+	// Refused is a call that was not run, after all retries up to the deadline.
 	Refused Outcome = "refused"
-	// Failed is an explicit error, or "unknown".
+	// Failed is an error answer, or an answer that does not say whether the call ran
+	// ("unknown").
 	Failed Outcome = "failed"
-	// Cut is an answer or a connection that ended before its time.
-	Cut Outcome = "cut"
-	// Wrong is an answer that is not the call's own, or a second run.
+	// Interrupted is an answer or a connection that ended prematurely.
+	Interrupted Outcome = "cut"
+	// Wrong is an answer that does not match the call, or a booking that ran more
+	// than once.
 	Wrong Outcome = "wrong"
 )
 
-// Quantiles are latencies in milliseconds.
+// Quantiles holds latencies in milliseconds.
 type Quantiles struct {
 	P50 float64 `json:"p50Ms"`
 	P95 float64 `json:"p95Ms"`
@@ -33,17 +35,17 @@
 	Max float64 `json:"maxMs"`
 }
 
-// Result is what came of a load. Its exported fields are set when Run returns.
+// Result holds the totals of a load run. Its exported fields are complete when Run returns.
 type Result struct {
 	Outcomes map[Outcome]int `json:"outcomes"`
-	// Retries is how often callers came back after a "not run".
+	// Retries is the number of retries, for any reason.
 	Retries int            `json:"retries"`
 	Codes   map[string]int `json:"codes"`
-	// Examples are the errors of the first calls that were cut.
+	// Examples holds the errors of the first five interrupted calls.
 	Examples   []string  `json:"examples,omitempty"`
 	FirstToken Quantiles `json:"firstToken"`
 	Total      Quantiles `json:"total"`
-	// Reuse is the part of the prompt tokens that came from caches.
+	// Reuse is the fraction of the prompt tokens that were served from prefix caches.
 	Reuse    float64 `json:"reuse"`
 	SkewMean float64 `json:"skewMean"`
 	SkewP99  float64 `json:"skewP99"`
@@ -53,12 +55,12 @@
 	prompt, cached int
 }
 
-const longest = int64(10 * time.Minute / time.Microsecond)
+const maxLatencyMicros = int64(10 * time.Minute / time.Microsecond)
 
 func newResult() *Result {
 	return &Result{
 		Outcomes: make(map[Outcome]int), Codes: make(map[string]int),
-		first: hdrhistogram.New(1, longest, digits), total: hdrhistogram.New(1, longest, digits),
+		first: hdrhistogram.New(1, maxLatencyMicros, significantDigits), total: hdrhistogram.New(1, maxLatencyMicros, significantDigits),
 	}
 }
 
@@ -83,26 +85,26 @@
 	}
 }
 
-// example keeps the error of a call that was cut.
-func (r *Result) example(err error) {
-	const most = 5
+// addExample records the error of an interrupted call, up to maxExamples.
+func (r *Result) addExample(err error) {
+	const maxExamples = 5
 
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
-	if len(r.Examples) < most {
+	if len(r.Examples) < maxExamples {
 		r.Examples = append(r.Examples, err.Error())
 	}
 }
 
-func (r *Result) retried() {
+func (r *Result) addRetry() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
 	r.Retries++
 }
 
-func (r *Result) tokens(prompt, cached int) {
+func (r *Result) addTokens(prompt, cached int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
@@ -110,18 +112,17 @@
 	r.cached += cached
 }
 
-// line returns the progress in one line.
-func (r *Result) line() string {
+func (r *Result) progressLine() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
 	return fmt.Sprintf("served=%d refused=%d failed=%d cut=%d wrong=%d retries=%d p50=%s p99=%s",
-		r.Outcomes[Served], r.Outcomes[Refused], r.Outcomes[Failed], r.Outcomes[Cut], r.Outcomes[Wrong], r.Retries,
+		r.Outcomes[Served], r.Outcomes[Refused], r.Outcomes[Failed], r.Outcomes[Interrupted], r.Outcomes[Wrong], r.Retries,
 		time.Duration(r.total.ValueAtPercentile(50))*time.Microsecond, //nolint:mnd // A percentile.
 		time.Duration(r.total.ValueAtPercentile(99))*time.Microsecond) //nolint:mnd // A percentile.
 }
 
-func (r *Result) finish(f *flights) {
+func (r *Result) finish(f *inFlight) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
--- a/internal/forwarder/reject_test.go
+++ b/internal/forwarder/reject_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 
 	"github.com/auburntray/auburntray/internal/forwarder"
-	"github.com/auburntray/auburntray/internal/standin/hearer"
+	"github.com/auburntray/auburntray/internal/standin/collector"
 )
 
 // Guards against rejected calls that no log mentions: a stopping instance rejected each call
@@ -28,7 +28,7 @@
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
 			g := newGateway(t)
-			h := hearer.New(t)
+			h := collector.New(t)
 
 			for range x.calls {
 				r := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/once/1", http.NoBody)
--- a/internal/gatekeeper/config_handler_test.go
+++ b/internal/gatekeeper/config_handler_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/auburntray/auburntray/internal/cataloger"
 	"github.com/auburntray/auburntray/internal/discoverer"
-	"github.com/auburntray/auburntray/internal/standin/hearer"
+	"github.com/auburntray/auburntray/internal/standin/collector"
 	"github.com/auburntray/auburntray/internal/watcher"
 )
 
@@ -29,7 +29,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
-			h := hearer.New(t)
+			h := collector.New(t)
 			f, c := newState(), counts{}
 			f.onRosterChange = func(*discoverer.Registry) {}
 			s := &configHandler{state: f, key: "config", refusals: &refusalReporter{stream: "config", counter: c}, decode: func(b []byte) (cataloger.Document, error) {
--- a/internal/gatekeeper/evacuation_handler_test.go
+++ b/internal/gatekeeper/evacuation_handler_test.go
@@ -14,7 +14,7 @@
 	"github.com/auburntray/auburntray/internal/cataloger"
 	"github.com/auburntray/auburntray/internal/discoverer"
 	"github.com/auburntray/auburntray/internal/selector"
-	"github.com/auburntray/auburntray/internal/standin/hearer"
+	"github.com/auburntray/auburntray/internal/standin/collector"
 	"github.com/auburntray/auburntray/internal/watcher"
 	"github.com/auburntray/auburntray/internal/wire"
 )
@@ -185,7 +185,7 @@
 func TestEvacuationLogLines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		i := is.New(t)
-		h := hearer.New(t)
+		h := collector.New(t)
 		f := stateWithCentres(t, "a", "b")
 		s, c := newTestEvacuationHandler(f)
 		r := running{"a": 2}
--- a/internal/gatekeeper/target_handler_test.go
+++ b/internal/gatekeeper/target_handler_test.go
@@ -13,7 +13,7 @@
 	"github.com/sirupsen/logrus"
 
 	"github.com/auburntray/auburntray/internal/discoverer"
-	"github.com/auburntray/auburntray/internal/standin/hearer"
+	"github.com/auburntray/auburntray/internal/standin/collector"
 	"github.com/auburntray/auburntray/internal/watcher"
 )
 
@@ -79,7 +79,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
-			h := hearer.New(t)
+			h := collector.New(t)
 			f, s, c := newTestState(t, "a", "b")
 			s.Read(time.Minute) // Entries that vanish now are retained for the grace period.
 
@@ -103,7 +103,7 @@
 // is repeated in every full list: they would hide changes.
 func TestRefusedEntryIsReportedOncePerChange(t *testing.T) {
 	i := is.New(t)
-	h := hearer.New(t)
+	h := collector.New(t)
 	_, s, c := newTestState(t)
 
 	for n := range 3 {
@@ -141,7 +141,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				i := is.New(t)
-				h := hearer.New(t)
+				h := collector.New(t)
 				_, s, c := newTestState(t, "b")
 				bad := 0
 
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -224,8 +224,8 @@
 	}{
 		"no failure":                          {key: "k", want: exchanger.Ran, runs: 1, repeat: exchanger.Ran},
 		"service fails after it ran the call": {service: service.Faults{Fail: true}, key: "k", want: exchanger.Ran, runs: 1, repeat: exchanger.Ran},
-		"answer lost":                         {service: service.Faults{Cut: true}, key: "k", want: exchanger.Unknown, runs: 1, repeat: exchanger.Unknown},
-		"answer lost, without a key":          {service: service.Faults{Cut: true}, want: exchanger.Unknown, runs: 1},
+		"answer lost":                         {service: service.Faults{DropConnection: true}, key: "k", want: exchanger.Unknown, runs: 1, repeat: exchanger.Unknown},
+		"answer lost, without a key":          {service: service.Faults{DropConnection: true}, want: exchanger.Unknown, runs: 1},
 		"service reports not run":             {service: service.Faults{Refuse: true}, key: "k", want: exchanger.NotRun, repeat: exchanger.NotRun},
 		"service stopped":                     {stopped: true, key: "k", want: exchanger.NotRun, repeat: exchanger.NotRun},
 		"log unavailable":                     {log: platform.Faults{Outage: true}, key: "k", want: exchanger.NotRun, repeat: exchanger.NotRun},
@@ -268,7 +268,7 @@
 	for k := range 5 {
 		f.services[0].SetFaults(service.Faults{})
 		i.Equal(n.do(t.Context(), http.MethodGet, "/read", "", "").outcome(), string(exchanger.Ran))
-		f.services[0].SetFaults(service.Faults{Cut: true})
+		f.services[0].SetFaults(service.Faults{DropConnection: true})
 
 		key := strconv.Itoa(k)
 		i.Equal(n.do(t.Context(), http.MethodDelete, "/book", key, "").outcome(), string(exchanger.Unknown))
@@ -297,7 +297,7 @@
 	a, b := f.add("dc-1"), f.add("dc-2")
 	f.awaitMembership()
 
-	f.platform.SetFaults(platform.Faults{Cut: []string{"dc-2"}})
+	f.platform.SetFaults(platform.Faults{Partitioned: []string{"dc-2"}})
 	f.addTarget("late", "engine", f.unusedAddress())
 	r := int64(f.publish(1))
 
@@ -485,7 +485,7 @@
 	f.awaitMembership()
 	waiter.Until(t, "the revision", func() bool { return a.metric(counter.Revision) == r && b.metric(counter.Revision) == r })
 
-	f.platform.SetFaults(platform.Faults{Cut: []string{"dc-2"}})
+	f.platform.SetFaults(platform.Faults{Partitioned: []string{"dc-2"}})
 	f.network.isolate("dc-2")
 
 	served := func(n *instance, name string) map[string]bool {
--- a/internal/standin/hearer/hearer.go
+++ b/internal/standin/collector/collector.go
@@ -1,5 +1,5 @@
-// Package hearer collects the lines of the log in tests.
-package hearer
+// Package collector collects log entries in tests.
+package collector
 
 import (
 	"io"
@@ -9,7 +9,8 @@
 	logs "github.com/sirupsen/logrus/hooks/test"
 )
 
-// New returns what collects the lines of the log, from the level Info on, until the test ends.
+// New returns a hook that collects the global logger's entries from level Info up until
+// the test ends. Tests that use it must not run in parallel, since the logger is global.
 func New(t testing.TB) *logs.Hook { //nolint:thelper // One letter, as in all code here.
 	t.Helper()
 
--- a/internal/standin/commander/commander.go
+++ b/internal/standin/commander/commander.go
@@ -1,4 +1,5 @@
-// Package commander is the command line of the stand-ins.
+// Package commander implements the command line of the stand-ins, which simulate the
+// systems around the routers in tests and trials.
 package commander
 
 import (
@@ -21,8 +22,8 @@
 	"github.com/auburntray/auburntray/internal/standin/service"
 )
 
-// ErrListen means that a stand-in can't listen on its address.
-var ErrListen = errors.New("the stand-in can't listen")
+// ErrListen means that a stand-in cannot listen on its address.
+var ErrListen = errors.New("stand-in cannot listen on its address")
 
 const (
 	stopTimeout   = time.Minute
@@ -34,7 +35,7 @@
 func New() *cobra.Command {
 	c := &cobra.Command{
 		Use:           "auburntray-standin",
-		Short:         "Small stand-ins for what auburntray serves and is served by",
+		Short:         "Stand-ins for the targets and the platform of auburntray, for tests",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
@@ -50,18 +51,19 @@
 	)
 
 	t := resolver.Table{
-		{Name: "listen", Default: "127.0.0.1:8070", Allowed: "an IP number and a port", Help: "address of the log and the list", Read: resolver.Address(&a, false)},
-		{Name: "retention", Default: "1h", Allowed: "1s to 1000h", Help: "how long records are kept", Read: resolver.Duration(&s.Retention, time.Second, 1000*time.Hour)},
-		{Name: "list-lag", Default: "500ms", Allowed: "0s to 1m", Help: "lag of the list of instances", Read: resolver.Duration(&s.ListLag, 0, time.Minute)},
-		{Name: "appends", Default: "300", Allowed: "1 to 100000", Help: "appends a second", Read: resolver.Float(&s.AppendsPerSecond, 1, 100000)},
+		{Name: "listen", Default: "127.0.0.1:8070", Allowed: "an IP number and a port", Help: "address of the log service and the list of instances", Read: resolver.Address(&a, false)},
+		{Name: "retention", Default: "1h", Allowed: "1s to 1000h", Help: "retention of records", Read: resolver.Duration(&s.Retention, time.Second, 1000*time.Hour)},
+		{Name: "list-lag", Default: "500ms", Allowed: "0s to 1m", Help: "delay before a change of the list of instances is visible", Read: resolver.Duration(&s.ListLag, 0, time.Minute)},
+		{Name: "appends", Default: "300", Allowed: "1 to 100000", Help: "limit of appends per second", Read: resolver.Float(&s.AppendsPerSecond, 1, 100000)},
 	}
 
-	return command("platform", "Run the platform's log and list", t, func(c context.Context) error {
+	return command("platform", "Run the platform's log service and list of instances", t, func(c context.Context) error {
 		return serve(c, a, platform.New(s).Handler(), nil)
 	})
 }
 
-// target are the settings of a stand-in that is in the platform's list.
+// target holds the settings of a stand-in that registers in the platform's list of
+// instances.
 type target struct {
 	address  netip.AddrPort
 	platform netip.AddrPort
@@ -73,16 +75,17 @@
 func (t *target) table() resolver.Table {
 	return resolver.Table{
 		{Name: "listen", Default: "127.0.0.1:8100", Allowed: "an IP number and a port", Help: "address of the target", Read: resolver.Address(&t.address, false)},
-		{Name: "platform", Default: "", Allowed: "an IP number and a port, or empty", Help: "platform whose list the target is in", Read: resolver.Address(&t.platform, true)},
+		{Name: "platform", Default: "", Allowed: "an IP number and a port, or empty", Help: "platform in whose list the target registers; empty means none", Read: resolver.Address(&t.platform, true)},
 		{Name: "region", Default: "region-1", Allowed: "1 to 63 bytes", Help: "region of the target", Read: resolver.Text(&t.region)},
 		{Name: "data-centre", Default: "dc-1", Allowed: "1 to 63 bytes", Help: "data centre of the target", Read: resolver.Text(&t.centre)},
 		{Name: "name", Default: "target", Allowed: "1 to 63 bytes", Help: "name of the target", Read: resolver.Text(&t.name)},
 	}
 }
 
-// list enters the target into the platform's list, as the platform's own agent
-// would. A failure is logged and nothing else: the list may be down.
-func (t *target) list(incarnation uint64, leaving, gone bool) {
+// register writes the target's entry to the platform's list of instances, as the
+// platform's own agent would. A failure is only logged, since the platform may be
+// unavailable in a test.
+func (t *target) register(incarnation uint64, leaving, gone bool) {
 	if !t.platform.IsValid() {
 		return
 	}
@@ -109,13 +112,13 @@
 	)
 
 	l := append(t.table(), resolver.Table{
-		{Name: "slots", Default: "8", Allowed: "1 to 10000", Help: "requests run at once", Read: resolver.Int(&s.Slots, 1, 10000)},
+		{Name: "slots", Default: "8", Allowed: "1 to 10000", Help: "requests run concurrently", Read: resolver.Int(&s.Slots, 1, 10000)},
 		{Name: "cache-tokens", Default: "200000", Allowed: "16 to 100000000", Help: "tokens in the prefix cache", Read: resolver.Int(&s.CacheTokens, 16, 100000000)},
-		{Name: "prefill-rate", Default: "20000", Allowed: "0 to 10000000", Help: "prompt tokens a second", Read: resolver.Float(&s.PrefillTokensPerSecond, 0, 1e7)},
+		{Name: "prefill-rate", Default: "20000", Allowed: "0 to 10000000", Help: "prompt tokens processed per second; 0 means no delay", Read: resolver.Float(&s.PrefillTokensPerSecond, 0, 1e7)},
 		{Name: "token-interval", Default: "10ms", Allowed: "0s to 1m", Help: "time between tokens", Read: resolver.Duration(&s.TokenInterval, 0, time.Minute)},
-		{Name: "report-lag", Default: "500ms", Allowed: "0s to 1m", Help: "lag of the load report", Read: resolver.Duration(&s.ReportLag, 0, time.Minute)},
-		{Name: "event-lag", Default: "1s", Allowed: "0s to 1m", Help: "lag of cache events", Read: resolver.Duration(&s.EventLag, 0, time.Minute)},
-		{Name: "checks-fence", Default: "true", Allowed: "true or false", Help: "refuse orders with an old fencing number", Read: resolver.Bool(&s.ChecksFence)},
+		{Name: "report-lag", Default: "500ms", Allowed: "0s to 1m", Help: "interval between updates of the load report; 0s reports the current load", Read: resolver.Duration(&s.ReportLag, 0, time.Minute)},
+		{Name: "event-lag", Default: "1s", Allowed: "0s to 1m", Help: "delay before cache events are visible", Read: resolver.Duration(&s.EventLag, 0, time.Minute)},
+		{Name: "checks-fence", Default: "true", Allowed: "true or false", Help: "refuse commands with an old fencing number", Read: resolver.Bool(&s.ChecksFence)},
 	}...)
 
 	return command("engine", "Run a model engine", l, func(c context.Context) error {
@@ -127,12 +130,12 @@
 		}
 		defer stop()
 
-		t.list(e.Incarnation(), false, false)
+		t.register(e.Incarnation(), false, false)
 		err = serve(c, t.address, e.Handler(), func() {
 			e.Leave()
-			t.list(e.Incarnation(), true, false)
+			t.register(e.Incarnation(), true, false)
 		})
-		t.list(e.Incarnation(), true, true)
+		t.register(e.Incarnation(), true, true)
 
 		return err
 	})
@@ -145,19 +148,19 @@
 	)
 
 	l := append(t.table(), resolver.Table{
-		{Name: "latency", Default: "20ms", Allowed: "0s to 1m", Help: "time that a call takes", Read: resolver.Duration(&s.Latency, 0, time.Minute)},
+		{Name: "latency", Default: "20ms", Allowed: "0s to 1m", Help: "duration of a call", Read: resolver.Duration(&s.Latency, 0, time.Minute)},
 	}...)
 
 	return command("service", "Run a plain service", l, func(c context.Context) error {
 		s.Name = t.name
 		x := service.New(s)
 
-		t.list(x.Incarnation(), false, false)
+		t.register(x.Incarnation(), false, false)
 		err := serve(c, t.address, x.Handler(), func() {
 			x.Leave()
-			t.list(x.Incarnation(), true, false)
+			t.register(x.Incarnation(), true, false)
 		})
-		t.list(x.Incarnation(), true, true)
+		t.register(x.Incarnation(), true, true)
 
 		return err
 	})
@@ -179,12 +182,13 @@
 	return c
 }
 
-// leaveNotice is how long a stopping target still takes what was on its way
-// when it said that it leaves.
-const leaveNotice = 3 * time.Second
+// leaveGrace is how long a target continues to accept requests after it announced that
+// it is leaving, since routers may not have noticed yet.
+const leaveGrace = 3 * time.Second
 
-// serve runs a handler until SIGTERM. Then it says that it leaves, if it can,
-// waits for the routers to notice, and ends when the last request has.
+// serve serves HTTP until SIGTERM or until c ends. Then it calls leave, if not nil, and
+// waits for leaveGrace; it returns when the last request has completed or after
+// stopTimeout. It fails with ErrListen if it cannot listen.
 func serve(c context.Context, a netip.AddrPort, h http.Handler, leave func()) error {
 	y, end := signaler.New(func(s os.Signal, u signaler.Use) {
 		logrus.WithFields(logrus.Fields{"event": "signalTaken", "signal": s, "use": u}).Info()
@@ -212,7 +216,7 @@
 
 	if leave != nil {
 		leave()
-		time.Sleep(leaveNotice)
+		time.Sleep(leaveGrace)
 	}
 
 	x, stop := context.WithTimeout(context.Background(), stopTimeout)
--- a/internal/standin/commander/gateway.go
+++ b/internal/standin/commander/gateway.go
@@ -12,7 +12,7 @@
 	"github.com/auburntray/auburntray/platform/standin"
 )
 
-// newStore runs the store that gateways read.
+// newStore returns the command that runs the store that gateways read.
 func newStore() *cobra.Command {
 	var a netip.AddrPort
 
@@ -25,7 +25,7 @@
 	})
 }
 
-// newServer runs a target that gateways find on the list in the store.
+// newServer returns the command that runs a target that gateways discover in the store.
 func newServer() *cobra.Command {
 	var (
 		a, store netip.AddrPort
@@ -34,40 +34,41 @@
 
 	t := resolver.Table{
 		{Name: "listen", Default: "127.0.0.1:8190", Allowed: "an IP number and a port", Help: "address of the server", Read: resolver.Address(&a, false)},
-		{Name: "store", Default: "127.0.0.1:8090", Allowed: "an IP number and a port", Help: "store on whose list the server is", Read: resolver.Address(&store, false)},
-		{Name: "id", Default: "i-1", Allowed: "1 to 63 bytes", Help: "ID of the server, the same after each start", Read: resolver.Text(&s.ID)},
-		{Name: "service", Default: "plain", Allowed: "1 to 63 bytes", Help: "service that it belongs to", Read: resolver.Text(&s.Service)},
+		{Name: "store", Default: "127.0.0.1:8090", Allowed: "an IP number and a port", Help: "store in which the server registers", Read: resolver.Address(&store, false)},
+		{Name: "id", Default: "i-1", Allowed: "1 to 63 bytes", Help: "ID of the server, unchanged by restarts", Read: resolver.Text(&s.ID)},
+		{Name: "service", Default: "plain", Allowed: "1 to 63 bytes", Help: "service to which the server belongs", Read: resolver.Text(&s.Service)},
 		{Name: "data-centre", Default: "dc-1", Allowed: "1 to 63 bytes", Help: "data centre of the server", Read: resolver.Text(&s.DataCentre)},
-		{Name: "slots", Default: "8", Allowed: "1 to 10000", Help: "calls run at once", Read: resolver.Int(&s.Slots, 1, 10000)},
+		{Name: "slots", Default: "8", Allowed: "1 to 10000", Help: "calls run concurrently", Read: resolver.Int(&s.Slots, 1, 10000)},
 		{Name: "work", Default: "20ms", Allowed: "0s to 1m", Help: "time until an answer begins", Read: resolver.Duration(&s.WorkTime, 0, time.Minute)},
 		{Name: "pause", Default: "20ms", Allowed: "0s to 1m", Help: "time between events", Read: resolver.Duration(&s.EventInterval, 0, time.Minute)},
 	}
 
 	return command("server", "Run a server of the users' platform", t, func(c context.Context) error {
 		x := standin.NewServer(s)
-		l := listing{store: store, server: x, id: s.ID, address: a}
-		l.enter(false)
+		l := registration{store: store, server: x, id: s.ID, address: a}
+		l.publish(false)
 
-		err := serve(c, a, x, func() { l.enter(true) })
-		l.drop()
+		err := serve(c, a, x, func() { l.publish(true) })
+		l.remove()
 
 		return err
 	})
 }
 
-// listing is a server's entry in the store.
-type listing struct {
+// registration writes and removes a server's entry in the store.
+type registration struct {
 	store   netip.AddrPort
 	server  *standin.Server
 	id      string
 	address netip.AddrPort
 }
 
-func (l listing) enter(draining bool) { l.put(l.server.Entry(l.address.String(), draining)) }
-func (l listing) drop()               { l.put(nil) }
+func (l registration) publish(draining bool) { l.put(l.server.Entry(l.address.String(), draining)) }
+func (l registration) remove()               { l.put(nil) }
 
-// put writes the entry. A failure is logged and nothing else: the store may be down.
-func (l listing) put(value []byte) {
+// put writes the entry; nil removes it. A failure is only logged, since the store may be
+// unavailable in a test.
+func (l registration) put(value []byte) {
 	c, stop := context.WithTimeout(context.Background(), time.Second)
 	defer stop()
 
--- a/internal/standin/engine/batch.go
+++ b/internal/standin/engine/batch.go
@@ -6,8 +6,8 @@
 	"sync"
 )
 
-// batch is the engine's limited set of slots. When all are taken, requests
-// wait by priority, then in the order in which they came.
+// batch is the engine's limited set of slots. When all are in use, requests wait in
+// order of priority, then of arrival.
 type batch struct {
 	mu      sync.Mutex
 	free    int
@@ -20,7 +20,7 @@
 	priority int
 	number   int
 	ready    chan struct{}
-	gone     bool
+	canceled bool
 }
 
 type queue []*waiter
@@ -35,13 +35,13 @@
 }
 func (q queue) Swap(a, b int) { q[a], q[b] = q[b], q[a] }
 
-// Push is part of heap.Interface.
+// Push implements heap.Interface.
 func (q *queue) Push(x any) {
 	w, _ := x.(*waiter)
 	*q = append(*q, w)
 }
 
-// Pop is part of heap.Interface.
+// Pop implements heap.Interface.
 func (q *queue) Pop() any {
 	o := *q
 	w := o[len(o)-1]
@@ -54,8 +54,9 @@
 	return &batch{free: slots, slots: slots}
 }
 
-// enter takes a slot, waiting for one until the context ends.
-func (b *batch) enter(c context.Context, priority int) error {
+// acquire acquires a slot, and waits for one if none is free. It fails when the context
+// ends.
+func (b *batch) acquire(c context.Context, priority int) error {
 	b.mu.Lock()
 
 	if b.free > 0 {
@@ -81,27 +82,27 @@
 
 	select {
 	case <-w.ready:
-		b.pass()
+		b.handOn()
 	default:
-		w.gone = true
+		w.canceled = true
 	}
 
 	return c.Err()
 }
 
-// leave gives a slot back.
-func (b *batch) leave() {
+func (b *batch) release() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 
-	b.pass()
+	b.handOn()
 }
 
-// pass hands a free slot to the first that still waits.
-func (b *batch) pass() {
+// handOn passes a released slot to the first waiter that wasn't cancelled, or marks the
+// slot free.
+func (b *batch) handOn() {
 	for b.waiting.Len() > 0 {
 		w, _ := heap.Pop(&b.waiting).(*waiter)
-		if !w.gone {
+		if !w.canceled {
 			close(w.ready)
 
 			return
@@ -111,7 +112,7 @@
 	b.free++
 }
 
-// load returns how many requests run and wait.
+// load returns the number of requests that run or wait.
 func (b *batch) load() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -8,13 +8,12 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// blockBytes is how much of a prompt one cache block covers: 16 tokens of four
-// bytes each.
+// A cache block covers 16 tokens of four bytes each.
 const (
 	blockTokens   = 16
 	bytesPerToken = 4
 	blockBytes    = blockTokens * bytesPerToken
-	eventsKept    = 4096
+	maxEvents     = 4096
 )
 
 // Event is a change of the prefix cache.
@@ -25,8 +24,8 @@
 	Evicted bool      `json:"evicted"`
 }
 
-// cache is a prefix cache with limited memory. A block's key is the hash of
-// the prompt up to its end, so a block is found only behind its whole prefix.
+// cache is a prefix cache with limited memory. A block's key is the hash of the prompt
+// up to the block's end, so a block only matches after the same prefix.
 type cache struct {
 	mu     sync.Mutex
 	blocks *simplelru.LRU[uint64, struct{}]
@@ -38,7 +37,7 @@
 	c := &cache{}
 
 	l, err := simplelru.NewLRU[uint64, struct{}](max(tokens/blockTokens, 1), func(k uint64, _ struct{}) {
-		c.note(k, true)
+		c.recordEvent(k, true)
 	})
 	if err != nil {
 		return nil, err
@@ -49,9 +48,9 @@
 	return c, nil
 }
 
-// use looks a prompt up and stores it, and returns how many of its tokens were
-// in the cache.
-func (c *cache) use(prompt []byte) int {
+// lookup returns the number of leading tokens of a prompt that were cached, and caches
+// the prompt.
+func (c *cache) lookup(prompt []byte) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
@@ -74,24 +73,24 @@
 		h = false
 
 		c.blocks.Add(k, struct{}{})
-		c.note(k, false)
+		c.recordEvent(k, false)
 	}
 
 	return n
 }
 
-// note records an event; older ones are dropped.
-func (c *cache) note(block uint64, evicted bool) {
+// recordEvent records an event and drops the oldest over maxEvents.
+func (c *cache) recordEvent(block uint64, evicted bool) {
 	c.number++
 	c.events = append(c.events, Event{Number: c.number, Time: time.Now(), Block: block, Evicted: evicted})
 
-	if len(c.events) > eventsKept {
-		c.events = c.events[len(c.events)-eventsKept:]
+	if len(c.events) > maxEvents {
+		c.events = c.events[len(c.events)-maxEvents:]
 	}
 }
 
-// since returns the events after a number that are at least as old as the lag,
-// without every gap-th one.
+// since returns the events after a number that are at least as old as the lag. It omits
+// every gap-th event; zero omits none.
 func (c *cache) since(number uint64, lag time.Duration, gap uint64) []Event {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/standin/engine/completion.go
+++ b/internal/standin/engine/completion.go
@@ -30,8 +30,8 @@
 	MaxTokens int       `json:"max_tokens"`
 }
 
-// Answer returns the content that the engine generates for the last message of
-// a chat, so that a caller can check that an answer is whole and its own.
+// Answer returns the tokens that the engine generates for the last message of a chat.
+// Callers use it to check that an answer is complete and matches their request.
 func Answer(last string, tokens int) []string {
 	o := make([]string, tokens)
 	k := strconv.FormatUint(hasher.Key(last), 36)
@@ -77,8 +77,8 @@
 	e.send(c, n, s, 0, q.Stream, f)
 }
 
-// start begins to generate. The answer belongs to the engine and not to the
-// connection: a caller that lost the one can still fetch the other.
+// start starts to generate an answer. Generation doesn't depend on the connection, so a
+// caller whose connection broke can resume the stream.
 func (e *Engine) start(id string, q completion, priority string) *stream {
 	x, cancel := context.WithCancel(context.Background())
 	s := newStream(cancel)
@@ -96,13 +96,13 @@
 		defer cancel()
 
 		s.finish(e.generate(x, s, q, p) != nil)
-		time.AfterFunc(streamsKept, func() { e.drop(id) })
+		time.AfterFunc(streamRetention, func() { e.removeStream(id) })
 	}()
 
 	return s
 }
 
-func (e *Engine) drop(id string) {
+func (e *Engine) removeStream(id string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 
@@ -110,11 +110,11 @@
 }
 
 func (e *Engine) generate(c context.Context, s *stream, q completion, priority int) error {
-	if err := e.batch.enter(c, priority); err != nil {
+	if err := e.batch.acquire(c, priority); err != nil {
 		return err
 	}
 
-	defer e.batch.leave()
+	defer e.batch.release()
 
 	var b strings.Builder
 	for _, m := range q.Messages {
@@ -125,12 +125,12 @@
 	}
 
 	n := b.Len() / bytesPerToken
-	h := e.cache.use([]byte(b.String()))
-	s.measure(n, h)
+	h := e.cache.lookup([]byte(b.String()))
+	s.setUsage(n, h)
 
 	if e.settings.PrefillTokensPerSecond > 0 {
 		d := time.Duration(float64(n-h) / e.settings.PrefillTokensPerSecond * float64(time.Second))
-		if err := pause(c, d); err != nil {
+		if err := sleep(c, d); err != nil {
 			return err
 		}
 	}
@@ -141,7 +141,7 @@
 	}
 
 	for _, w := range Answer(q.Messages[len(q.Messages)-1].Content, t) {
-		if err := pause(c, e.settings.TokenInterval); err != nil {
+		if err := sleep(c, e.settings.TokenInterval); err != nil {
 			return err
 		}
 
@@ -189,10 +189,10 @@
 	c.Status(http.StatusNoContent)
 }
 
-// send writes an answer from an offset on, as events or as one document.
+// send writes an answer starting at an offset, as events or as one document.
 func (e *Engine) send(c *gin.Context, id string, s *stream, offset int, stream bool, f Faults) {
 	if !stream {
-		e.sendWhole(c, id, s)
+		e.sendDocument(c, id, s)
 
 		return
 	}
@@ -234,7 +234,7 @@
 	}
 }
 
-func (e *Engine) sendWhole(c *gin.Context, id string, s *stream) {
+func (e *Engine) sendDocument(c *gin.Context, id string, s *stream) {
 	var b strings.Builder
 
 	n := 0
@@ -288,7 +288,7 @@
 	_, _ = fmt.Fprintf(w, "data: %s\n\n", b)
 }
 
-func pause(c context.Context, d time.Duration) error {
+func sleep(c context.Context, d time.Duration) error {
 	if d <= 0 {
 		return c.Err()
 	}
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -1,7 +1,6 @@
-// Package engine is a small stand-in for a model engine: it batches requests
-// into limited slots, caches prompt prefixes in limited memory, streams
-// answers, resumes and cancels them, reports its load with a lag and takes
-// orders.
+// Package engine is a stand-in for a model engine. It runs requests in a limited number
+// of slots, caches prompt prefixes in limited memory, streams answers, which can be
+// resumed and cancelled, reports its load with a lag and accepts commands.
 package engine
 
 import (
@@ -15,7 +14,7 @@
 	"github.com/gin-gonic/gin"
 )
 
-// Headers of the engine's interface.
+// Headers of the engine's HTTP interface.
 const (
 	headerRequestID   = "X-Request-Id"
 	headerPriority    = "X-Priority"
@@ -28,11 +27,11 @@
 const (
 	maxBody     = 8 << 20
 	maxMessages = 4096
-	// streamsKept is how long a finished stream can be read again.
-	streamsKept = 20 * time.Second
+	// streamRetention is how long a finished stream can be resumed.
+	streamRetention = 20 * time.Second
 )
 
-// Settings says how the stand-in behaves.
+// Settings configures the stand-in.
 type Settings struct {
 	Name                   string
 	Slots                  int
@@ -41,24 +40,24 @@
 	TokenInterval          time.Duration
 	ReportLag              time.Duration
 	EventLag               time.Duration
-	// EventGap drops every n-th cache event; zero drops none.
+	// EventGap omits every n-th cache event; zero omits none.
 	EventGap uint64
-	// ChecksFence makes orders with an old fencing number refused.
+	// ChecksFence refuses commands with an old fencing number.
 	ChecksFence bool
 }
 
-// Faults are the failures that the stand-in causes; the zero value causes none.
+// Faults are the failures that the stand-in injects; the zero value injects none.
 type Faults struct {
-	// Fail answers 500 before anything is generated.
+	// Fail answers completions with 500 without generating anything.
 	Fail bool `json:"fail"`
-	// BreakAfter closes a stream's connection after so many tokens; the answer
-	// goes on and can be resumed.
+	// BreakAfter closes a stream's connection after this many tokens; generation
+	// continues and the stream can be resumed. Zero never closes it.
 	BreakAfter int `json:"breakAfter"`
-	// LoseStreams makes broken streams impossible to resume.
+	// LoseStreams makes resuming a stream fail with 404.
 	LoseStreams bool `json:"loseStreams"`
 }
 
-// Engine is the stand-in. It is safe for concurrent use.
+// Engine is a stand-in for a model engine. It is safe for concurrent use.
 type Engine struct {
 	settings    Settings
 	incarnation uint64
@@ -69,15 +68,16 @@
 	canceled    atomic.Int64
 	group       sync.WaitGroup
 
-	mu      sync.Mutex
-	faults  Faults
-	streams map[string]*stream
-	model   string
-	fence   uint64
-	orders  int
+	mu       sync.Mutex
+	faults   Faults
+	streams  map[string]*stream
+	model    string
+	fence    uint64
+	commands int
 }
 
-// New returns an Engine and its clean-up function.
+// New starts an Engine and returns it with its clean-up function, which waits until all
+// answers are generated. It fails if the cache cannot be created.
 func New(s Settings) (*Engine, func(), error) {
 	c, err := newCache(s.CacheTokens)
 	if err != nil {
@@ -96,12 +96,12 @@
 
 	e.group.Add(1)
 
-	go e.report(x)
+	go e.updateReport(x)
 
 	return e, func() { stop(); e.group.Wait() }, nil
 }
 
-// Leave makes the engine say that it is leaving.
+// Leave makes the engine report that it is leaving and fail its health checks.
 func (e *Engine) Leave() {
 	e.leaving.Store(true)
 }
@@ -111,17 +111,18 @@
 	return e.batch.load()
 }
 
-// Canceled returns how many streams were cancelled.
+// Canceled returns the number of cancellations of streams.
 func (e *Engine) Canceled() int {
 	return int(e.canceled.Load())
 }
 
-// Incarnation returns the number that is higher for each new process.
+// Incarnation returns the number of this process, which is higher than that of earlier
+// ones.
 func (e *Engine) Incarnation() uint64 {
 	return e.incarnation
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces all faults. Answers that are being sent keep their BreakAfter.
 func (e *Engine) SetFaults(f Faults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -131,19 +132,19 @@
 
 // Handler returns the HTTP interface.
 func (e *Engine) Handler() http.Handler {
-	// Without gin's recovery an aborted handler closes its connection; with it a
-	// broken answer would end like a whole one.
+	// gin.New has no recovery middleware, so an aborted handler closes its connection.
+	// With recovery, a broken answer would end like a complete one.
 	gin.SetMode(gin.ReleaseMode)
 
 	g := gin.New()
-	g.Use(e.describe)
+	g.Use(e.addLoadHeaders)
 	g.GET("/health", e.health)
 	g.GET("/events", e.events)
 	g.POST("/v1/chat/completions", e.complete)
 	g.GET("/v1/streams/:id", e.resume)
 	g.DELETE("/v1/streams/:id", e.cancel)
-	g.GET("/admin/orders", e.ordered)
-	g.POST("/admin/orders", e.order)
+	g.GET("/admin/orders", e.commandStatus)
+	g.POST("/admin/orders", e.handleCommand)
 	g.POST("/admin/leave", func(c *gin.Context) { e.Leave(); c.Status(http.StatusNoContent) })
 	g.POST("/admin/faults", func(c *gin.Context) {
 		var f Faults
@@ -156,8 +157,8 @@
 	return g
 }
 
-// report renews the reported load; the lag is the time between two renewals.
-func (e *Engine) report(c context.Context) {
+// updateReport updates the reported load every ReportLag.
+func (e *Engine) updateReport(c context.Context) {
 	defer e.group.Done()
 
 	if e.settings.ReportLag <= 0 {
@@ -177,7 +178,7 @@
 	}
 }
 
-func (e *Engine) describe(c *gin.Context) {
+func (e *Engine) addLoadHeaders(c *gin.Context) {
 	n := e.reported.Load()
 	if e.settings.ReportLag <= 0 {
 		n = int64(e.batch.load())
@@ -209,15 +210,15 @@
 	c.JSON(http.StatusOK, e.cache.since(n, e.settings.EventLag, e.settings.EventGap))
 }
 
-// Order is an instruction to load a model. Fence is the fencing number of the
-// lease under which it was given.
-type Order struct {
+// Command is an instruction to load a model. Fence is the fencing number of the lease
+// under which it was issued.
+type Command struct {
 	Model string `json:"model"`
 	Fence uint64 `json:"fence"`
 }
 
-func (e *Engine) order(c *gin.Context) {
-	var o Order
+func (e *Engine) handleCommand(c *gin.Context) {
+	var o Command
 	if err := c.BindJSON(&o); err != nil {
 		return
 	}
@@ -233,13 +234,13 @@
 
 	e.fence = max(e.fence, o.Fence)
 	e.model = o.Model
-	e.orders++
+	e.commands++
 	c.Status(http.StatusNoContent)
 }
 
-func (e *Engine) ordered(c *gin.Context) {
+func (e *Engine) commandStatus(c *gin.Context) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 
-	c.JSON(http.StatusOK, gin.H{"model": e.model, "fence": e.fence, "orders": e.orders})
+	c.JSON(http.StatusOK, gin.H{"model": e.model, "fence": e.fence, "orders": e.commands})
 }
--- a/internal/standin/engine/stream.go
+++ b/internal/standin/engine/stream.go
@@ -5,13 +5,13 @@
 	"sync"
 )
 
-// stream is one answer as it is generated. A caller that lost its connection
-// reads on from where it was.
+// stream is an answer that is being generated. A caller whose connection broke can
+// resume it at an offset. It is safe for concurrent use.
 type stream struct {
 	mu       sync.Mutex
 	tokens   []string
 	done     bool
-	grown    chan struct{}
+	changed  chan struct{}
 	cancel   context.CancelFunc
 	prompt   int
 	cached   int
@@ -19,7 +19,7 @@
 }
 
 func newStream(cancel context.CancelFunc) *stream {
-	return &stream{grown: make(chan struct{}), cancel: cancel}
+	return &stream{changed: make(chan struct{}), cancel: cancel}
 }
 
 func (s *stream) add(token string) {
@@ -27,7 +27,7 @@
 	defer s.mu.Unlock()
 
 	s.tokens = append(s.tokens, token)
-	s.wake()
+	s.notify()
 }
 
 func (s *stream) finish(canceled bool) {
@@ -36,10 +36,10 @@
 
 	s.done = true
 	s.canceled = canceled
-	s.wake()
+	s.notify()
 }
 
-func (s *stream) measure(prompt, cached int) {
+func (s *stream) setUsage(prompt, cached int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
@@ -47,17 +47,18 @@
 	s.cached = cached
 }
 
-func (s *stream) wake() {
-	close(s.grown)
-	s.grown = make(chan struct{})
+func (s *stream) notify() {
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
-// next returns the tokens from an offset on, waiting for the first of them, and
-// whether the answer is complete after them.
+// next returns the tokens from an offset on and whether the answer is complete after
+// them. It waits until there is at least one token or the answer is complete. It fails if
+// the context ends or the stream was cancelled.
 func (s *stream) next(c context.Context, offset int) (l []string, done bool, err error) {
 	for {
 		s.mu.Lock()
-		g := s.grown
+		g := s.changed
 
 		if offset < len(s.tokens) || s.done {
 			l = append(l, s.tokens[min(offset, len(s.tokens)):]...)
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -1,6 +1,6 @@
-// Package platform is a small stand-in for the platform's log service and its
-// list of instances. It keeps to the limits that the real ones have: limited
-// retention, a limited rate of appends, lag, and the faults asked for.
+// Package platform is a stand-in for the platform's log service and its list of
+// instances. It has the limits of the real ones: limited retention, a limited rate of
+// appends and lag. It can also inject faults.
 package platform
 
 import (
@@ -22,7 +22,7 @@
 	centreHeader = "X-Data-Centre"
 )
 
-// Settings says how the stand-in behaves.
+// Settings configures the stand-in.
 type Settings struct {
 	Retention time.Duration
 	ListLag   time.Duration
@@ -30,16 +30,17 @@
 	AppendsPerSecond float64
 }
 
-// Faults are the failures that the stand-in causes; the zero value causes none.
+// Faults are the failures that the stand-in injects; the zero value injects none.
 type Faults struct {
-	// Outage refuses everything.
+	// Outage refuses all requests of the log service and the list.
 	Outage bool `json:"outage"`
-	// SlowMs delays each answer.
+	// SlowMs delays each answer, in milliseconds.
 	SlowMs int `json:"slowMs"`
-	// LoseReplies is how many appends take effect without an answer.
+	// LoseReplies is the number of next appends that take effect but whose connection
+	// is closed without an answer.
 	LoseReplies int `json:"loseReplies"`
-	// Cut lists the data centres that can't reach the platform.
-	Cut []string `json:"cut"`
+	// Partitioned lists the data centres that cannot reach the platform.
+	Partitioned []string `json:"cut"`
 }
 
 // Instance is an entry of the list of instances.
@@ -54,14 +55,14 @@
 	Gone        bool   `json:"gone"`
 }
 
-type listed struct {
+type listEntry struct {
 	Instance
 
 	version uint64
 	since   time.Time
 }
 
-// Platform is the stand-in. It is safe for concurrent use.
+// Platform is a stand-in for the platform. It is safe for concurrent use.
 type Platform struct {
 	settings Settings
 	limiter  *rate.Limiter
@@ -69,7 +70,7 @@
 	mu       sync.Mutex
 	faults   Faults
 	streams  map[string]*stream
-	list     map[string]listed
+	list     map[string]listEntry
 	version  uint64
 	appended int
 }
@@ -85,21 +86,21 @@
 		settings: s,
 		limiter:  rate.NewLimiter(rate.Limit(r), appendBurst),
 		streams:  make(map[string]*stream),
-		list:     make(map[string]listed),
+		list:     make(map[string]listEntry),
 	}
 }
 
 // Handler returns the HTTP interface.
 func (p *Platform) Handler() http.Handler {
-	// Without gin's recovery an aborted handler closes its connection, as a lost
-	// reply does; with it the caller would get an empty answer.
+	// gin.New has no recovery middleware, so an aborted handler closes its connection,
+	// which simulates a lost reply. With recovery, the caller would get an empty answer.
 	gin.SetMode(gin.ReleaseMode)
 
 	g := gin.New()
 	g.POST("/admin/faults", p.setFaults)
 	g.GET("/admin/stats", p.stats)
 
-	v := g.Group("/v1", p.fail)
+	v := g.Group("/v1", p.injectFaults)
 	v.POST("/streams/:name/records", p.append)
 	v.GET("/streams/:name/records", p.read)
 	v.GET("/instances", p.instances)
@@ -126,7 +127,7 @@
 	c.Status(http.StatusNoContent)
 }
 
-// Appends returns how many appends took effect.
+// Appends returns the number of appends that took effect.
 func (p *Platform) Appends() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -138,8 +139,8 @@
 	c.JSON(http.StatusOK, gin.H{"appends": p.Appends()})
 }
 
-// fail causes the faults that hit a request before it takes effect.
-func (p *Platform) fail(c *gin.Context) {
+// injectFaults delays or refuses a request before it takes effect.
+func (p *Platform) injectFaults(c *gin.Context) {
 	p.mu.Lock()
 	f := p.faults
 	p.mu.Unlock()
@@ -155,12 +156,12 @@
 	}
 }
 
-// unreachable says that the caller can't reach the platform at present.
+// unreachable reports whether a fault prevents the caller from reaching the platform.
 func (p *Platform) unreachable(c *gin.Context) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	return p.faults.Outage || contains(p.faults.Cut, c.GetHeader(centreHeader))
+	return p.faults.Outage || contains(p.faults.Partitioned, c.GetHeader(centreHeader))
 }
 
 func (p *Platform) append(c *gin.Context) {
@@ -185,15 +186,15 @@
 
 	o := p.stream(c.Param("name")).append(time.Now(), b.Records)
 
-	if p.lose() {
+	if p.loseReply() {
 		panic(http.ErrAbortHandler)
 	}
 
 	c.JSON(http.StatusOK, gin.H{"offset": o})
 }
 
-// lose says whether the reply to this append is lost.
-func (p *Platform) lose() bool {
+// loseReply counts an append and reports whether its reply is lost.
+func (p *Platform) loseReply() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
@@ -219,11 +220,11 @@
 	s := p.stream(c.Param("name"))
 	l, o, n, g := s.read(time.Now(), f, maxRecords)
 
-	if len(l) == 0 && wait(c, g) {
+	if len(l) == 0 && waitForRecords(c, g) {
 		l, o, n, _ = s.read(time.Now(), f, maxRecords)
 	}
 
-	// A cut also ends the long polls that began before it.
+	// A fault also ends the long polls that began before it.
 	if p.unreachable(c) {
 		panic(http.ErrAbortHandler)
 	}
@@ -269,7 +270,7 @@
 	defer p.mu.Unlock()
 
 	p.version++
-	p.list[i.Name] = listed{Instance: i, version: p.version, since: time.Now()}
+	p.list[i.Name] = listEntry{Instance: i, version: p.version, since: time.Now()}
 	c.Status(http.StatusNoContent)
 }
 
@@ -286,8 +287,9 @@
 	return s
 }
 
-// wait holds a long poll until the stream grows or the time asked for is over.
-func wait(c *gin.Context, grown chan struct{}) bool {
+// waitForRecords blocks a long poll until the stream changes, and returns true, or until
+// the requested time is over or the caller disconnects.
+func waitForRecords(c *gin.Context, changed chan struct{}) bool {
 	n, err := strconv.Atoi(c.DefaultQuery("waitMs", "0"))
 	if err != nil || n <= 0 {
 		return false
@@ -297,7 +299,7 @@
 	defer t.Stop()
 
 	select {
-	case <-grown:
+	case <-changed:
 		return true
 	case <-t.C:
 	case <-c.Request.Context().Done():
--- a/internal/standin/platform/stream.go
+++ b/internal/standin/platform/stream.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// Record is one entry of a stream.
+// Record is an entry of a stream.
 type Record struct {
 	Offset uint64    `json:"offset"`
 	Time   time.Time `json:"time"`
 	Data   []byte    `json:"data"`
 }
 
-// stream is one append-only stream. It is safe for concurrent use.
+// stream is an append-only stream of records. It is safe for concurrent use.
 type stream struct {
 	mu        sync.Mutex
 	records   []Record
 	next      uint64
 	retention time.Duration
-	grown     chan struct{}
+	changed   chan struct{}
 }
 
 func newStream(retention time.Duration) *stream {
-	return &stream{retention: retention, grown: make(chan struct{})}
+	return &stream{retention: retention, changed: make(chan struct{})}
 }
 
-// append adds records together and returns the offset of the first.
+// append appends records atomically and returns the offset of the first.
 func (s *stream) append(now time.Time, data [][]byte) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -37,14 +37,16 @@
 		s.next++
 	}
 
-	close(s.grown)
-	s.grown = make(chan struct{})
+	close(s.changed)
+	s.changed = make(chan struct{})
 
 	return o
 }
 
-// read returns up to limit records from an offset, with the range that is kept.
-func (s *stream) read(now time.Time, from uint64, limit int) (l []Record, oldest, next uint64, grown chan struct{}) {
+// read removes expired records and returns up to limit records from an offset, the
+// oldest available offset, the next offset to be written, and a channel that is closed
+// at the next append.
+func (s *stream) read(now time.Time, from uint64, limit int) (l []Record, oldest, next uint64, changed chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
@@ -62,5 +64,5 @@
 		}
 	}
 
-	return l, oldest, s.next, s.grown
+	return l, oldest, s.next, s.changed
 }
--- a/internal/standin/porter/porter.go
+++ b/internal/standin/porter/porter.go
@@ -1,4 +1,4 @@
-// Package porter finds ports for tests.
+// Package porter finds free TCP ports for tests.
 package porter
 
 import (
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// Free returns a loopback address on which nobody listens. Another process may take
+// Free returns a loopback address on which no process listens. Another process may bind
 // its port before the test does.
 func Free(t testing.TB) netip.AddrPort { //nolint:thelper // One letter, as in all code here.
 	t.Helper()
@@ -30,9 +30,9 @@
 	return a
 }
 
-// Refusing returns a loopback address on which nobody listens, nor does any other process while
-// the test runs: its port is taken by a socket that takes no connections. An address that was given
-// back may be another's a moment later, and a test that counts on a refusal reaches that one.
+// Refusing returns a loopback address that refuses connections until the test ends: its port
+// is bound to a socket that does not listen. The port of a closed listener could be bound by
+// another process at any time, and a test that expects a refusal would then reach that process.
 func Refusing(t testing.TB) netip.AddrPort { //nolint:thelper // As above.
 	t.Helper()
 
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -1,5 +1,5 @@
-// Package service is a small stand-in for a plain service, some of whose calls
-// may not be repeated. It counts how often it ran each idempotency key.
+// Package service is a stand-in for a plain service, some of whose calls may not be
+// repeated. It counts the executions per idempotency key.
 package service
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/auburntray/auburntray/internal/hasher"
 )
 
-// Headers of the service's interface.
+// Headers of the service's HTTP interface.
 const (
 	headerKey         = "Idempotency-Key"
 	headerNotRun      = "X-Not-Run"
@@ -25,23 +25,23 @@
 	maxBody           = 1 << 20
 )
 
-// Settings says how the stand-in behaves.
+// Settings configures the stand-in.
 type Settings struct {
 	Name    string
 	Latency time.Duration
 }
 
-// Faults are the failures that the stand-in causes; the zero value causes none.
+// Faults are the failures that the stand-in injects; the zero value injects none.
 type Faults struct {
-	// Fail answers 500 after the call ran.
+	// Fail runs the call and answers 500.
 	Fail bool `json:"fail"`
-	// Refuse answers that the call was not run.
+	// Refuse answers that the call was not run, without running it.
 	Refuse bool `json:"refuse"`
-	// Cut runs the call and closes the connection without an answer.
-	Cut bool `json:"cut"`
+	// DropConnection runs the call and closes the connection without an answer.
+	DropConnection bool `json:"cut"`
 }
 
-// Service is the stand-in. It is safe for concurrent use.
+// Service is a stand-in for a plain service. It is safe for concurrent use.
 type Service struct {
 	settings    Settings
 	incarnation uint64
@@ -53,7 +53,7 @@
 	counts map[string]int
 }
 
-// New returns a Service that has run nothing.
+// New returns a Service without executions.
 func New(s Settings) *Service {
 	return &Service{
 		settings:    s,
@@ -62,17 +62,18 @@
 	}
 }
 
-// Leave makes the service say that it is leaving.
+// Leave makes the service report that it is leaving and fail its health checks.
 func (s *Service) Leave() {
 	s.leaving.Store(true)
 }
 
-// Incarnation returns the number that is higher for each new process.
+// Incarnation returns the number of this process, which is higher than that of earlier
+// ones.
 func (s *Service) Incarnation() uint64 {
 	return s.incarnation
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces all faults.
 func (s *Service) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -80,7 +81,7 @@
 	s.faults = f
 }
 
-// Counts returns how often each key was run.
+// Counts returns a copy of the number of executions per key.
 func (s *Service) Counts() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,12 +96,12 @@
 
 // Handler returns the HTTP interface.
 func (s *Service) Handler() http.Handler {
-	// Without gin's recovery an aborted handler closes its connection; with it a
-	// broken answer would end like a whole one.
+	// gin.New has no recovery middleware, so an aborted handler closes its connection.
+	// With recovery, a broken answer would end like a complete one.
 	gin.SetMode(gin.ReleaseMode)
 
 	g := gin.New()
-	g.Use(s.report)
+	g.Use(s.addLoadHeaders)
 	g.GET("/health", s.health)
 	g.GET("/admin/counts", func(c *gin.Context) { c.JSON(http.StatusOK, s.Counts()) })
 	g.POST("/admin/leave", func(c *gin.Context) { s.Leave(); c.Status(http.StatusNoContent) })
@@ -116,7 +117,7 @@
 	return g
 }
 
-func (s *Service) report(c *gin.Context) {
+func (s *Service) addLoadHeaders(c *gin.Context) {
 	c.Header(headerRequests, strconv.FormatInt(s.running.Load(), 10))
 	c.Header(headerIncarnation, strconv.FormatUint(s.incarnation, 10))
 	c.Header(headerLeaving, strconv.FormatBool(s.leaving.Load()))
@@ -163,7 +164,7 @@
 
 	time.Sleep(s.settings.Latency)
 
-	if f.Cut {
+	if f.DropConnection {
 		panic(http.ErrAbortHandler)
 	}
 
--- a/internal/standin/waiter/waiter.go
+++ b/internal/standin/waiter/waiter.go
@@ -1,4 +1,4 @@
-// Package waiter waits in tests for what other goroutines and processes bring about.
+// Package waiter waits in tests for a condition that other goroutines or processes cause.
 package waiter
 
 import (
@@ -7,17 +7,16 @@
 )
 
 const (
-	// most is how long a state may take to come on a machine full of other work.
-	most = 30 * time.Second
-	// tries is how often a state is looked at before it is given up, however long that
-	// takes. A process that stood still for as long as most allows has looked once only.
-	tries = 600
-	// pause is the time between two looks.
-	pause = time.Millisecond
+	// maxWait is how long a condition may take to hold on a busy machine.
+	maxWait = 30 * time.Second
+	// minChecks is the minimum number of checks before Until fails, regardless of the time.
+	// A process that stalled for maxWait may have checked only once.
+	minChecks     = 600
+	checkInterval = time.Millisecond
 )
 
-// Until waits until f returns true. It fails the test when that does not come in 30
-// seconds and 600 looks, with the words for what was waited for. It must be called on
+// Until waits until f returns true. It fails the test with a message that names what was
+// expected if f still returns false after 30 seconds and 600 checks. It must be called on
 // the test's own goroutine.
 func Until(t testing.TB, what string, f func() bool) { //nolint:thelper // One letter, as in all code here.
 	t.Helper()
@@ -25,10 +24,10 @@
 	b := time.Now()
 
 	for n := 0; !f(); n++ {
-		if time.Since(b) > most && n >= tries {
-			t.Fatalf("%s did not come in %v", what, time.Since(b).Round(time.Second))
+		if time.Since(b) > maxWait && n >= minChecks {
+			t.Fatalf("%s not reached within %v", what, time.Since(b).Round(time.Second))
 		}
 
-		time.Sleep(pause)
+		time.Sleep(checkInterval)
 	}
 }
--- a/internal/standin/waiter/waiter_test.go
+++ b/internal/standin/waiter/waiter_test.go
@@ -12,40 +12,40 @@
 	"github.com/auburntray/auburntray/internal/standin/waiter"
 )
 
-// failing is a test that notes how it failed.
-type failing struct {
+// recorder is a testing.TB that records its failure message.
+type recorder struct {
 	testing.TB
-	said string
+	message string
 }
 
-func (*failing) Helper() {}
+func (*recorder) Helper() {}
 
-func (f *failing) Fatalf(s string, a ...any) {
-	f.said = fmt.Sprintf(s, a...)
+func (f *recorder) Fatalf(s string, a ...any) {
+	f.message = fmt.Sprintf(s, a...)
 
 	runtime.Goexit()
 }
 
-// A test waits for a state on a busy machine. It goes on as soon as the state is there,
-// and gives up only when it was patient both in time and in looks.
+// Guards against false failures on a busy machine: Until returns as soon as the condition
+// holds, and fails only after both the time and the number of checks are exceeded.
 func TestUntil(t *testing.T) {
 	tests := map[string]struct {
-		// from is when the state is there, and slow how long a look at it takes.
-		from, slow time.Duration
-		looks      int
-		said       string
+		// after is when the condition begins to hold, and slow the duration of a check.
+		after, slow time.Duration
+		checks      int
+		message     string
 	}{
-		"at once":                   {looks: 1},
-		"soon":                      {from: 3 * time.Millisecond, looks: 4},
-		"at the last moment":        {from: 30 * time.Second, looks: 30001},
-		"never":                     {from: time.Hour, looks: 30002, said: "the state did not come in 30s"},
-		"never, and looks are slow": {from: time.Hour, slow: 99 * time.Millisecond, looks: 601, said: "the state did not come in 1m0s"},
+		"immediately":             {checks: 1},
+		"soon":                    {after: 3 * time.Millisecond, checks: 4},
+		"at the last moment":      {after: 30 * time.Second, checks: 30001},
+		"never":                   {after: time.Hour, checks: 30002, message: "the state not reached within 30s"},
+		"never, with slow checks": {after: time.Hour, slow: 99 * time.Millisecond, checks: 601, message: "the state not reached within 1m0s"},
 	}
 	for name, x := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				i := is.New(t)
-				f := &failing{TB: t}
+				f := &recorder{TB: t}
 				b := time.Now()
 				n := 0
 
@@ -54,13 +54,13 @@
 
 					time.Sleep(x.slow)
 
-					return time.Since(b) >= x.from
+					return time.Since(b) >= x.after
 				})
 
 				time.Sleep(2 * time.Minute)
 				synctest.Wait()
-				i.Equal(n, x.looks)
-				i.Equal(f.said, x.said)
+				i.Equal(n, x.checks)
+				i.Equal(f.message, x.message)
 			})
 		})
 	}
