--- a/cmd/auburntray-standin/main.go
+++ b/cmd/auburntray-standin/main.go
@@ -1,5 +1,5 @@
-// The auburntray-standin program runs stand-ins of model engines, plain
-// services and the platform, for demonstrations and tests.
+// The auburntray-standin program runs stand-ins for model engines, services, the platform and the store of
+// the users' platform with its servers, for demonstrations and tests.
 package main
 
 import (
--- a/cmd/auburntray/main.go
+++ b/cmd/auburntray/main.go
@@ -1,4 +1,4 @@
-// The auburntray program runs routers and is the operators' client.
+// The auburntray program runs routers and gateways, and is the command-line client of operators.
 package main
 
 import (
--- a/internal/asker/ask.go
+++ b/internal/asker/ask.go
@@ -84,12 +84,12 @@
 			break
 		}
 
-		a.counter.Add(counter.AsksFailed, 1)
+		a.counter.Add(counter.HomeRequestsFailed, 1)
 		logrus.WithFields(logrus.Fields{"event": "askFailed", "peer": h.Address, "error": err}).Warn()
 		a.suspect(h, b, err)
 	}
 
-	a.counter.Add(counter.AskedHere, 1)
+	a.counter.Add(counter.DecidedLocally, 1)
 
 	return a.here(c, r, w)
 }
--- a/internal/certifier/certifier.go
+++ b/internal/certifier/certifier.go
@@ -1,4 +1,4 @@
-// Package certifier reads certificates for TLS.
+// Package certifier loads certificates and builds the TLS configuration between routers.
 package certifier
 
 import (
@@ -9,30 +9,31 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrFile means that a file holds no certificate or key that can be used.
-var ErrFile = errors.New("the certificate can't be used")
+// ErrFile marks a file that can't be read or has no valid certificate or key.
+var ErrFile = errors.New("invalid certificate or key file")
 
-// PeerName is the name that the certificates of routers are issued to.
+// PeerName is the DNS name in the certificates of routers.
 const PeerName = "auburntray"
 
-// Pool returns the authorities in a PEM file. It fails with ErrFile.
+// Pool returns the certificate authorities in a PEM file. It fails with ErrFile.
 func Pool(file string) (*x509.CertPool, error) {
-	b, err := os.ReadFile(file) //nolint:gosec // The operator names the file.
+	b, err := os.ReadFile(file) //nolint:gosec // The path is set by the operator.
 	if err != nil {
 		return nil, errors.Mark(err, ErrFile)
 	}
 
 	p := x509.NewCertPool()
 	if !p.AppendCertsFromPEM(b) {
-		return nil, errors.Mark(errors.Newf("%s holds no certificate", file), ErrFile)
+		return nil, errors.Mark(errors.Newf("%s contains no certificate", file), ErrFile)
 	}
 
 	return p, nil
 }
 
-// Peers returns the TLS settings between routers: both sides show a certificate
-// of the same authorities, issued to PeerName. It fails with ErrFile.
-func Peers(cert, key, authorities string) (*tls.Config, error) {
+// PeerConfig returns the configuration for mutual TLS between routers: both sides present a certificate that one
+// of the authorities issued, and clients verify that the server's is issued to PeerName. The parameters are
+// paths of PEM files. It fails with ErrFile.
+func PeerConfig(cert, key, authorities string) (*tls.Config, error) {
 	c, err := tls.LoadX509KeyPair(cert, key)
 	if err != nil {
 		return nil, errors.Mark(err, ErrFile)
--- a/internal/commander/gateway.go
+++ b/internal/commander/gateway.go
@@ -82,9 +82,9 @@
 		return nil, err
 	}
 
-	m.Follow("signals_total", func() float64 { return float64(x.Total()) })
-	m.Follow("log_lines_dropped_total", func() float64 { return float64(l.Dropped()) })
-	m.Follow("log_lines_failed_total", func() float64 { return float64(l.Failed()) })
+	m.RegisterGauge("signals_total", func() float64 { return float64(x.Total()) })
+	m.RegisterGauge("log_lines_dropped_total", func() float64 { return float64(l.Dropped()) })
+	m.RegisterGauge("log_lines_failed_total", func() float64 { return float64(l.Failed()) })
 
 	go reloader.New(path, b, x.HangUps(), func(b []byte) error { return retune(b, y, g, t) }).Run(c)
 
--- a/internal/commander/root.go
+++ b/internal/commander/root.go
@@ -67,7 +67,7 @@
 
 	b := time.Now()
 	h := make(logrus.LevelHooks)
-	h.Add(logger.NewSteady(b, func() time.Duration { return time.Since(b) }))
+	h.Add(logger.NewMonotonicHook(b, func() time.Duration { return time.Since(b) }))
 	logrus.StandardLogger().ReplaceHooks(h)
 
 	return l, flush, nil
--- a/internal/explainer/explainer.go
+++ b/internal/explainer/explainer.go
@@ -1,4 +1,4 @@
-// Package explainer tells the history of a call from the logs of all instances.
+// Package explainer reconstructs the history of one call from the logs of all instances.
 package explainer
 
 import (
@@ -13,49 +13,49 @@
 	"github.com/go-logfmt/logfmt"
 )
 
-// ErrLog marks a log that can't be read.
-var ErrLog = errors.New("the log can't be read")
+// ErrLog marks a log that can't be read, and an output that can't be written.
+var ErrLog = errors.New("reading or writing log lines failed")
 
-// The fields that every line has.
+// The keys that are read from each line.
 const (
 	fieldTime = "time"
-	// fieldSteady is the time by a clock that does not step; older lines have none.
-	fieldSteady = "steady"
-	fieldEvent  = "event"
-	fieldID     = "id"
-	fieldLevel  = "level"
-	// maxLine bounds a line.
-	maxLine = 1 << 20
+	// fieldMonotonic is the time by the monotonic clock. Lines of older versions have none.
+	fieldMonotonic = "steady"
+	fieldEvent     = "event"
+	fieldID        = "id"
+	fieldLevel     = "level"
+	// maxLineBytes is the length from which on a line makes Read fail.
+	maxLineBytes = 1 << 20
 )
 
-// Line is one line of log.
+// Line is one log line about the call.
 type Line struct {
-	// Source is the file that it came from.
+	// Source is the name of the log.
 	Source string
-	// Time is by a clock that does not step within a process, where the line has it.
+	// Time is by the monotonic clock if the line has that time, so that the lines of one process stay
+	// in their order when the wall clock steps, and by the wall clock otherwise.
 	Time  time.Time
 	Event string
-	// Fields are the others, in their order, as name=value.
+	// Fields are the remaining fields as key=value, in the order of the line.
 	Fields []string
 }
 
-// Explainer collects the lines about one call. It is not safe for concurrent use.
+// Explainer collects the log lines about one call. It is not safe for concurrent use.
 type Explainer struct {
 	id    string
 	lines []Line
 }
 
-// New returns an Explainer of the call with an ID.
+// New returns an Explainer for the call with the given ID.
 func New(id string) *Explainer {
 	return &Explainer{id: id}
 }
 
-// Read takes the lines of a log that are about the call. What comes before the
-// first field of a line, as a collector may add, is passed over, and so are lines
-// that are no fields at all. It fails with ErrLog.
+// Read adds the lines of a log that are about the call. It skips text before the first field of
+// a line, which a log collector may add, and lines that are not logfmt. It fails with ErrLog.
 func (e *Explainer) Read(source string, r io.Reader) error {
 	s := bufio.NewScanner(r)
-	s.Buffer(nil, maxLine)
+	s.Buffer(nil, maxLineBytes)
 
 	for s.Scan() {
 		t := s.Text()
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// parse reads a line and says whether it is about the call.
+// parse parses a line and reports whether it is valid and about the call.
 func (e *Explainer) parse(source, text string) (Line, bool) {
 	l := Line{Source: source}
 	found := false
@@ -93,13 +93,13 @@
 		k, v := string(d.Key()), string(d.Value())
 
 		switch k {
-		case fieldTime, fieldSteady:
+		case fieldTime, fieldMonotonic:
 			x, err := time.Parse(time.RFC3339Nano, v)
 			if err != nil {
 				return l, false
 			}
 
-			if l.Time.IsZero() || k == fieldSteady {
+			if l.Time.IsZero() || k == fieldMonotonic {
 				l.Time = x
 			}
 		case fieldEvent:
@@ -115,8 +115,8 @@
 	return l, found && d.Err() == nil
 }
 
-// Write tells the history in the order of time, the deciding line last, and returns
-// how many lines there were.
+// Write writes the lines ordered by time, so that the one with the call's outcome is usually the
+// last, and returns their number. It fails with ErrLog.
 func (e *Explainer) Write(w io.Writer) (int, error) {
 	sort.SliceStable(e.lines, func(a, b int) bool { return e.lines[a].Time.Before(e.lines[b].Time) })
 
--- a/internal/explainer/explainer_test.go
+++ b/internal/explainer/explainer_test.go
@@ -20,7 +20,7 @@
 `
 )
 
-func TestHistoryIsInTheOrderOfTime(t *testing.T) {
+func TestHistoryIsOrderedByTime(t *testing.T) {
 	is := is.New(t)
 	e := explainer.New("c1")
 	is.NoErr(e.Read("one.log", strings.NewReader(one)))
@@ -47,10 +47,9 @@
 	is.Equal(n, 0)
 }
 
-// A call is sent, fails and is answered at one instance whose clock steps back by two seconds
-// on the way. Told by the clock's time, the answer would come before the attempt that failed,
-// and an engineer would look for its cause at the wrong end.
-func TestHistoryOverAClockThatSteps(t *testing.T) {
+// Guards against lines out of order when the wall clock of an instance steps back by 2 s during a
+// call: ordered by wall-clock time, the answer would precede the failed attempt.
+func TestHistoryOrderAcrossClockStep(t *testing.T) {
 	const stepped = `time="2026-05-01T10:00:01.500Z" level=info event=attemptFailed id=c1 steady="2026-05-01T10:00:01.500Z" target=t1
 time="2026-05-01T09:59:59.600Z" level=info event=callServed id=c1 steady="2026-05-01T10:00:01.600Z" target=t2
 `
--- a/internal/filterer/pick.go
+++ b/internal/filterer/pick.go
@@ -91,7 +91,7 @@
 			continue
 		}
 
-		p.Counter.Add(counter.Waited, 1)
+		p.Counter.Add(counter.WaitedForSlot, 1)
 
 		t := time.NewTimer(v.RetryAfter)
 		select {
@@ -112,7 +112,7 @@
 	x.Target = x.Force.Matcher.Target(r.Target)
 
 	if r.Returned {
-		p.Counter.Add(counter.Returned, 1)
+		p.Counter.Add(counter.ReturnedToPlacement, 1)
 	}
 
 	// The home of the cell may have a newer revision with a target that this router
@@ -131,7 +131,7 @@
 func (p Pick) refusal(v asker.Place) error {
 	switch v.Reason {
 	case granter.OverShare:
-		p.Counter.Add(counter.RefusedShare, 1)
+		p.Counter.Add(counter.RefusedOverShare, 1)
 
 		return exchanger.Refuse(http.StatusTooManyRequests, exchanger.CodeOverShare, v.RetryAfter,
 			"the customer uses its full share of the targets, and no capacity is idle")
--- a/internal/forwarder/attempt.go
+++ b/internal/forwarder/attempt.go
@@ -226,7 +226,7 @@
 			e = "leftAlone"
 		}
 
-		f.meter.Left(string(b.Cause), b.Excluded)
+		f.meter.HealthChange(string(b.Cause), b.Excluded)
 
 		if b.Cause == selector.TargetGone && b.Excluded && b.Source == selector.Own {
 			f.notifyGone(b.Process)
@@ -303,7 +303,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
-	f.meter.Began(x.kindLabel(), n.Sub(x.start))
+	f.meter.FirstPart(x.kindLabel(), n.Sub(x.start))
 
 	if f.state.Stalled(x.attemptStart) {
 		return
--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -98,11 +98,11 @@
 // Meter records metrics. It is implemented by meter.Meter.
 type Meter interface {
 	Call(kind string, o meter.Outcome, took time.Duration)
-	Began(kind string, took time.Duration)
+	FirstPart(kind string, took time.Duration)
 	Attempt(group, outcome string)
 	Refusal(reason string)
-	Left(cause string, excluded bool)
-	Reserved(group, outcome string)
+	HealthChange(cause string, excluded bool)
+	Reservation(group, outcome string)
 }
 
 // servedLogsPerSecond bounds the log lines about served calls. It is four times the usual load of
@@ -189,7 +189,7 @@
 			l.WithField("event", "callServed").Info()
 		}
 	case errors.Is(err, errCallerLeft):
-		o = meter.Left
+		o = meter.Disconnected
 
 		l.WithFields(logrus.Fields{"event": "callerLeft", "error": err}).Info()
 	case errors.As(err, &r) && !x.relayed:
--- a/internal/forwarder/reply.go
+++ b/internal/forwarder/reply.go
@@ -79,6 +79,6 @@
 
 // logLeaving logs and counts that a target is excluded because its process announced its shutdown.
 func (f *Forwarder) logLeaving(p discoverer.Process, s selector.Source) {
-	f.meter.Left("targetLeaves", true)
+	f.meter.HealthChange("targetLeaves", true)
 	logrus.WithFields(logrus.Fields{"event": "targetLeaves", "target": p.ID, "source": s}).Info()
 }
--- a/internal/forwarder/reservation.go
+++ b/internal/forwarder/reservation.go
@@ -135,7 +135,7 @@
 	x.reservation.verdict, x.reservation.release = f.reserver.Reserve(c, t.Target, aggregator.Request{
 		MaxCalls: s.MaxCalls(t.Bound), Deadline: x.deadline, MedianLatency: t.MedianPace, AllowExcluded: s.AllowExcluded(),
 	})
-	f.meter.Reserved(x.group, x.reservation.verdict.Outcome.String())
+	f.meter.Reservation(x.group, x.reservation.verdict.Outcome.String())
 
 	if p := x.reservation.verdict.Latency; p > 0 {
 		f.mu.Lock()
--- a/internal/gatekeeper/options.go
+++ b/internal/gatekeeper/options.go
@@ -202,7 +202,7 @@
 		"suspects": wire.KindSuspects, "suspects_relay": wire.KindSuspectsRelay, "suspects_request": wire.KindSuspectsRequest,
 		"trial": wire.KindTrial,
 	} {
-		p.Meter.Follow("control_bytes_sent_"+name, func() float64 { return float64(m.Traffic().SentOf(k)) })
+		p.Meter.RegisterGauge("control_bytes_sent_"+name, func() float64 { return float64(m.Traffic().SentOf(k)) })
 	}
 
 	return g
--- a/internal/gatekeeper/refusal_reporter.go
+++ b/internal/gatekeeper/refusal_reporter.go
@@ -23,7 +23,7 @@
 
 // counter counts records that can't be used.
 type counter interface {
-	Unusable(stream, reason string)
+	UnusableRecord(stream, reason string)
 }
 
 // refusalReporter counts the unusable records of a stream and logs them at a limited rate. It is
@@ -40,7 +40,7 @@
 // report counts a refused record, and logs it if the rate permits.
 func (r *refusalReporter) report(err error, f logrus.Fields) {
 	x, field := classify(err)
-	r.counter.Unusable(r.stream, string(x))
+	r.counter.UnusableRecord(r.stream, string(x))
 
 	if !r.allowLine() {
 		r.suppressed++
--- a/internal/hasher/hasher.go
+++ b/internal/hasher/hasher.go
@@ -1,8 +1,7 @@
-// Package hasher orders candidates by rendezvous hashing.
+// Package hasher hashes names and keys and ranks candidates by rendezvous hashing.
 //
-// Rendezvous hashing gives every key its own order of candidates. When a
-// candidate leaves, only the keys that had it first move; no ring or table has
-// to be agreed between instances.
+// Rendezvous hashing gives every key its own order of candidates. When a candidate is removed, only the
+// keys that ranked it first move, and instances need to share no ring or table.
 package hasher
 
 import (
@@ -14,19 +13,20 @@
 )
 
 const (
-	wordBytes    = 8
-	wordBits     = 64
+	wordBytes = 8
+	wordBits  = 64
+	// mantissaBits is the precision of a float64.
 	mantissaBits = 53
 )
 
-// Name returns the 32-bit hash of a name. It is safe for concurrent use. The
-// parser refuses documents in which two names of a kind collide.
+// Name returns the 32-bit hash of a name. It is safe for concurrent use. Collisions within a document are
+// excluded by the parser, which refuses documents where two names of a kind have the same hash.
 func Name(name string) uint32 {
-	return uint32(xxhash.Sum64String(name)) //nolint:gosec // The low half is the hash.
+	return uint32(xxhash.Sum64String(name)) //nolint:gosec // The low 32 bits are the hash.
 }
 
-// Key returns the 64-bit hash of the parts, kept apart by their lengths so that
-// ("ab", "c") and ("a", "bc") differ. It is safe for concurrent use.
+// Key returns the 64-bit hash of the parts, each preceded by its length, so that ("ab", "c") and ("a", "bc")
+// differ. It is safe for concurrent use.
 func Key(parts ...string) uint64 {
 	d := xxhash.New()
 
@@ -41,8 +41,7 @@
 	return d.Sum64()
 }
 
-// Mix returns the hash of a chain that goes on with one more link. It is safe for
-// concurrent use.
+// Mix returns the hash of a hash chain extended by one link. It is safe for concurrent use.
 func Mix(chain, link uint64) uint64 {
 	var b [2 * wordBytes]byte
 
@@ -52,9 +51,9 @@
 	return xxhash.Sum64(b[:])
 }
 
-// Score returns the weighted rendezvous score of a candidate for a key: the
-// highest score wins, and a candidate wins in proportion to its weight. A
-// weight of zero or less never wins. It is safe for concurrent use.
+// Score returns the weighted rendezvous score of a candidate for a key. The candidate with the highest
+// score wins, so that each candidate wins a share of the keys in proportion to its weight. A weight of
+// zero or less gives the score -Inf. It is safe for concurrent use.
 //
 // Source: Schindelhauer and Schomaker, "Weighted distributed hash tables"
 // (2005), the logarithmic method.
@@ -69,9 +68,8 @@
 	return -weight / math.Log(u)
 }
 
-// Rank returns the indexes 0..n-1 ordered by falling score. The candidate and
-// weight functions are called once for each index. It is safe for concurrent
-// use when they are.
+// Rank returns the indexes 0..n-1 in descending order of score. It calls candidate and weight once for
+// each index, and is safe for concurrent use if they are.
 func Rank(key uint64, n int, candidate func(int) uint64, weight func(int) float64) []int {
 	s := make([]float64, n)
 	r := make([]int, n)
--- a/internal/hasher/hasher_test.go
+++ b/internal/hasher/hasher_test.go
@@ -8,9 +8,9 @@
 	"github.com/auburntray/auburntray/internal/hasher"
 )
 
-// A target leaves. Only the chats that had it first may move: if others moved
-// too, each loss would cost the whole fleet its prompt caches.
-func TestRankMovesOnlyTheKeysOfTheLost(t *testing.T) {
+// Guards against keys that move although their target remains: each removed target would then cost all
+// other targets their prompt caches.
+func TestRankMovesOnlyKeysOfRemovedCandidate(t *testing.T) {
 	i := is.New(t)
 	one := func(int) float64 { return 1 }
 	all := func(n int) uint64 { return uint64(n) }
@@ -22,16 +22,16 @@
 
 		if a[0] == 9 {
 			moved++
-			i.Equal(b[0], a[1]) // the next in order takes over
+			i.Equal(b[0], a[1]) // The second candidate becomes the first.
 		} else {
-			i.Equal(b[0], a[0]) // the others stay
+			i.Equal(b[0], a[0]) // The other keys do not move.
 		}
 	}
 
-	i.True(moved > 150 && moved < 250) // about a tenth had the lost one
+	i.True(moved > 150 && moved < 250) // About a tenth ranked the removed one first.
 }
 
-func TestScoreFollowsWeights(t *testing.T) {
+func TestScoreIsProportionalToWeight(t *testing.T) {
 	i := is.New(t)
 	n := 0
 
@@ -41,8 +41,8 @@
 		}
 	}
 
-	i.True(n > 7300 && n < 7700)                // three quarters
-	i.True(hasher.Score(1, 1, 0) < -1e300)      // no weight never wins
-	i.True(hasher.Key("ab") != hasher.Key("a")) // another key
+	i.True(n > 7300 && n < 7700)                // Three quarters.
+	i.True(hasher.Score(1, 1, 0) < -1e300)      // A weight of zero never wins.
+	i.True(hasher.Key("ab") != hasher.Key("a")) // Different keys.
 	i.True(hasher.Key("ab", "c") != hasher.Key("a", "bc"))
 }
--- a/internal/logger/logger.go
+++ b/internal/logger/logger.go
@@ -1,4 +1,4 @@
-// Package logger writes lines of log without ever holding up who logs.
+// Package logger writes log lines in the background, so that logging never blocks the caller.
 package logger
 
 import (
@@ -11,48 +11,51 @@
 )
 
 const (
-	// depth is how many lines may wait for a reader that is slow, about 400 KB.
-	depth = 2048
-	// perSecond and burst bound the lines. An instance at its usual load writes
-	// about forty a second; in an outage each call has a few.
-	perSecond = 400
-	burst     = 2000
-	// tellEvery is how often it is said how many lines were dropped.
-	tellEvery = time.Second
+	// queueLines is the number of lines that are queued while the writer blocks, about 400 KB.
+	queueLines = 2048
+	// linesPerSecond and burstLines limit the rate. An instance writes about 40 lines per second under
+	// its usual load and a few lines per call during an outage.
+	linesPerSecond = 400
+	burstLines     = 2000
+	// reportInterval is the time between two log lines on the number of dropped lines.
+	reportInterval = time.Second
+	// flushTimeout bounds the clean-up function.
+	flushTimeout = time.Second
 )
 
-// Logger is an io.Writer that passes lines on to another in the background. Lines
-// over its bounds are dropped and counted. It is safe for concurrent use.
+// Logger is an io.Writer that forwards lines to another writer in the background. Lines that exceed
+// the rate limit or the queue are dropped and counted. It is safe for concurrent use.
 type Logger struct {
-	lines   chan []byte
-	limit   *rate.Limiter
-	dropped atomic.Int64
-	total   atomic.Int64
-	failed  atomic.Int64
-	done    chan struct{}
+	lines chan []byte
+	limit *rate.Limiter
+	// unreported is the number of dropped lines since the last report.
+	unreported atomic.Int64
+	dropped    atomic.Int64
+	failed     atomic.Int64
+	done       chan struct{}
 }
 
-// New returns a Logger that writes to w, and its clean-up function, which waits a
-// moment for the lines that are left.
+// New returns a Logger that writes to w, and its clean-up function, which waits up to a second until
+// the queued lines are written.
 func New(w io.Writer) (*Logger, func()) {
-	l := &Logger{lines: make(chan []byte, depth), limit: rate.NewLimiter(perSecond, burst), done: make(chan struct{})}
-	end := make(chan struct{})
+	l := &Logger{lines: make(chan []byte, queueLines), limit: rate.NewLimiter(linesPerSecond, burstLines), done: make(chan struct{})}
+	stop := make(chan struct{})
 
-	go l.run(w, end)
+	go l.run(w, stop)
 
 	return l, func() {
-		close(end)
+		close(stop)
 
-		// A reader that stalls must not hold up the end of the process either.
+		// A reader that has stalled must not delay the exit of the process.
 		select {
 		case <-l.done:
-		case <-time.After(tellEvery):
+		case <-time.After(flushTimeout):
 		}
 	}
 }
 
-// Write takes a line. It never fails and never waits: a reader that stalls, or a
-// flood of lines, must not hold up the calls that the lines are about.
+// Write queues a copy of a line. It never fails or blocks, as neither a stalled reader nor a flood of
+// lines may delay the calls that log. A line that can't be queued is dropped and counted.
 func (l *Logger) Write(b []byte) (int, error) {
 	if !l.limit.Allow() {
 		l.drop()
@@ -69,35 +72,35 @@
 	return len(b), nil
 }
 
-// Dropped returns how many lines were dropped since the start.
+// Dropped returns the number of lines dropped since the start.
 func (l *Logger) Dropped() int64 {
-	return l.total.Load()
+	return l.dropped.Load()
 }
 
-// Failed returns how many lines could not be written since the start: nobody reads them
-// any more, say.
+// Failed returns the number of lines since the start whose write failed, for example because the
+// reader of the pipe is gone.
 func (l *Logger) Failed() int64 {
 	return l.failed.Load()
 }
 
 func (l *Logger) drop() {
+	l.unreported.Add(1)
 	l.dropped.Add(1)
-	l.total.Add(1)
 }
 
-func (l *Logger) run(w io.Writer, end chan struct{}) {
+func (l *Logger) run(w io.Writer, stop chan struct{}) {
 	defer close(l.done)
 
-	t := time.NewTicker(tellEvery)
+	t := time.NewTicker(reportInterval)
 	defer t.Stop()
 
 	for {
 		select {
 		case b := <-l.lines:
-			l.pass(w, b)
+			l.write(w, b)
 		case <-t.C:
-			l.tell(w)
-		case <-end:
+			l.reportDropped(w)
+		case <-stop:
 			l.flush(w)
 
 			return
@@ -105,28 +108,29 @@
 	}
 }
 
-// pass writes a line. One that can't be written is counted, and the next is tried all the
-// same: there is nowhere else to tell it, and a full disk may have room again.
-func (l *Logger) pass(w io.Writer, b []byte) {
+// write writes a line and counts a failure. Later lines are still tried: the failure can't be logged
+// elsewhere, and it may pass, as when a full disk has free space again.
+func (l *Logger) write(w io.Writer, b []byte) {
 	if _, err := w.Write(b); err != nil {
 		l.failed.Add(1)
 	}
 }
 
-// tell writes how many lines were dropped since it last did.
-func (l *Logger) tell(w io.Writer) {
-	if n := l.dropped.Swap(0); n > 0 {
-		l.pass(w, fmt.Appendf(nil, "time=%q level=warning event=linesDropped lines=%d\n", time.Now().UTC().Format(time.RFC3339Nano), n))
+// reportDropped logs the number of lines dropped since the last report, if any.
+func (l *Logger) reportDropped(w io.Writer) {
+	if n := l.unreported.Swap(0); n > 0 {
+		l.write(w, fmt.Appendf(nil, "time=%q level=warning event=linesDropped lines=%d\n", time.Now().UTC().Format(time.RFC3339Nano), n))
 	}
 }
 
+// flush writes the queued lines and reports the dropped ones.
 func (l *Logger) flush(w io.Writer) {
 	for {
 		select {
 		case b := <-l.lines:
-			l.pass(w, b)
+			l.write(w, b)
 		default:
-			l.tell(w)
+			l.reportDropped(w)
 
 			return
 		}
--- a/internal/logger/logger_test.go
+++ b/internal/logger/logger_test.go
@@ -14,7 +14,7 @@
 	"github.com/auburntray/auburntray/internal/logger"
 )
 
-// buffer is a bytes.Buffer for several goroutines.
+// buffer is a bytes.Buffer that is safe for concurrent use.
 type buffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -34,7 +34,7 @@
 	return x.b.String()
 }
 
-func TestLinesComeInOrder(t *testing.T) {
+func TestLinesAreWrittenInOrder(t *testing.T) {
 	is := is.New(t)
 
 	var b buffer
@@ -50,13 +50,13 @@
 	is.True(strings.HasSuffix(b.String(), "line 99\n"))
 }
 
-// A user would see every call stand still because nobody reads the log: the pipe
-// is full, and the next line waits for room in it.
-func TestReaderThatStallsHoldsUpNobody(t *testing.T) {
+// Guards against calls that block because nobody reads the log: the pipe is full, and the write of
+// the next line would wait.
+func TestStalledReaderDoesNotBlock(t *testing.T) {
 	is := is.New(t)
 	r, w := io.Pipe() // Nobody reads from r.
 
-	defer r.Close() //nolint:errcheck // The test's own.
+	defer r.Close() //nolint:errcheck // Has no error to report.
 
 	l, stop := logger.New(w)
 	b := time.Now()
@@ -75,7 +75,7 @@
 	is.True(time.Since(b) < 3*time.Second)
 }
 
-func TestDroppedLinesAreTold(t *testing.T) {
+func TestDroppedLinesAreReported(t *testing.T) {
 	is := is.New(t)
 
 	var b buffer
--- a/internal/meter/meter.go
+++ b/internal/meter/meter.go
@@ -1,4 +1,4 @@
-// Package meter counts what a gateway does and serves the counts as text.
+// Package meter records the metrics of a gateway and serves them in the Prometheus text format.
 package meter
 
 import (
@@ -10,69 +10,70 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Outcome is how a call ended for its caller.
+// Outcome is the outcome of a call for its caller.
 type Outcome string
 
-// The outcomes.
+// The outcomes of calls.
 const (
-	// Served is a whole answer of a target's.
+	// Served means that the caller received the complete answer of a target.
 	Served Outcome = "served"
-	// Refused is an answer of the gateway's own.
+	// Refused means that the gateway answered itself, with a refusal.
 	Refused Outcome = "refused"
-	// Broken is an answer that began and did not end.
+	// Broken means that the answer of a target broke off after its beginning.
 	Broken Outcome = "broken"
-	// Left means that the caller left first.
-	Left Outcome = "left"
+	// Disconnected means that the caller disconnected before the answer was complete.
+	Disconnected Outcome = "left"
 )
 
-// Meter holds the counts of one instance. It is safe for concurrent use. It is not
-// global, so that tests can run several instances in a process.
+// Meter records the metrics of one instance. It is safe for concurrent use, except for Loads. It is
+// not global, so that tests can run several instances in one process.
 type Meter struct {
 	set *metrics.Set
-	// loads returns the load of each target when it is read.
+	// loads returns the current load of each target; nil stands for no targets.
 	loads func() []Load
 }
 
-// Load is the load of a target as this instance sees it.
+// Load is the load of a target as known to this instance.
 type Load struct {
 	Target, Group string
 	Calls         float64
-	// Left says that the target is left alone.
-	Left bool
+	// Excluded means that the target is excluded: it gets no calls for now.
+	Excluded bool
 }
 
-// New returns a Meter with every count at zero.
+// New returns a Meter without any counts.
 func New() *Meter {
 	return &Meter{set: metrics.NewSet()}
 }
 
-// Call counts a call, how it ended and how long it took.
+// Call records a call with its outcome and duration.
 func (m *Meter) Call(kind string, o Outcome, took time.Duration) {
 	m.set.GetOrCreateCounter(`auburntray_calls_total{kind="` + kind + `",outcome="` + string(o) + `"}`).Inc()
 	m.set.GetOrCreateHistogram(`auburntray_call_seconds{kind="` + kind + `"}`).Update(took.Seconds())
 }
 
-// Began counts how long the first part of an answer took.
-func (m *Meter) Began(kind string, took time.Duration) {
+// FirstPart records the time until the first part of an answer.
+func (m *Meter) FirstPart(kind string, took time.Duration) {
 	m.set.GetOrCreateHistogram(`auburntray_first_part_seconds{kind="` + kind + `"}`).Update(took.Seconds())
 }
 
-// Attempt counts an attempt at a target and how it ended.
+// Attempt records an attempt at a target of the group with its outcome.
 func (m *Meter) Attempt(group, outcome string) {
-	m.set.GetOrCreateCounter(`auburntray_attempts_total{group="` + escaped(group) + `",outcome="` + outcome + `"}`).Inc()
+	m.set.GetOrCreateCounter(`auburntray_attempts_total{group="` + escape(group) + `",outcome="` + outcome + `"}`).Inc()
 }
 
-// Reserved counts a question to the home of a target and what it said.
-func (m *Meter) Reserved(group, outcome string) {
-	m.set.GetOrCreateCounter(`auburntray_reservations_total{group="` + escaped(group) + `",outcome="` + outcome + `"}`).Inc()
+// Reservation records the reservation of a slot at the home (home node) of a target of the group, with its
+// outcome.
+func (m *Meter) Reservation(group, outcome string) {
+	m.set.GetOrCreateCounter(`auburntray_reservations_total{group="` + escape(group) + `",outcome="` + outcome + `"}`).Inc()
 }
 
-// Refusal counts an answer of the gateway's own by its reason.
+// Refusal records a refusal by the gateway with its reason.
 func (m *Meter) Refusal(reason string) {
 	m.set.GetOrCreateCounter(`auburntray_refusals_total{reason="` + reason + `"}`).Inc()
 }
 
-// Read counts a read of a stream: where from, and whether it was answered.
+// Read records a read of a stream from a source and whether it was answered.
 func (m *Meter) Read(stream, source string, answered bool) {
 	r := "answered"
 	if !answered {
@@ -82,34 +83,34 @@
 	m.set.GetOrCreateCounter(`auburntray_reads_total{stream="` + stream + `",source="` + source + `",result="` + r + `"}`).Inc()
 }
 
-// Unusable counts a record of a stream that can't be used, by its reason, of which there
-// must be few.
-func (m *Meter) Unusable(stream, reason string) {
+// UnusableRecord records an invalid record of a stream with its reason. Reasons become values of a label, so
+// there may be only a few different ones.
+func (m *Meter) UnusableRecord(stream, reason string) {
 	m.set.GetOrCreateCounter(`auburntray_records_refused_total{stream="` + stream + `",reason="` + reason + `"}`).Inc()
 }
 
-// Left counts that a target or a data centre is left alone, for a cause, or back.
-func (m *Meter) Left(cause string, out bool) {
-	e := "back"
-	if out {
-		e = "leftAlone"
+// HealthChange records that a target or a data centre is excluded, with the cause, or readmitted.
+func (m *Meter) HealthChange(cause string, excluded bool) {
+	v := "back"
+	if excluded {
+		v = "leftAlone"
 	}
 
-	m.set.GetOrCreateCounter(`auburntray_beliefs_total{cause="` + cause + `",change="` + e + `"}`).Inc()
+	m.set.GetOrCreateCounter(`auburntray_beliefs_total{cause="` + cause + `",change="` + v + `"}`).Inc()
 }
 
-// Loads makes the loads of targets show what a function returns when they are read.
-// It is called before the Handler is used.
-func (m *Meter) Loads(f func() []Load) {
+// SetLoads sets the function that returns the loads of targets whenever the metrics are read. It must be
+// called before the Handler is used.
+func (m *Meter) SetLoads(f func() []Load) {
 	m.loads = f
 }
 
-// Follow makes a gauge show what a function returns when it is read.
-func (m *Meter) Follow(name string, f func() float64) {
+// RegisterGauge registers a gauge whose value is the result of the function whenever the metrics are read.
+func (m *Meter) RegisterGauge(name string, f func() float64) {
 	m.set.GetOrCreateGauge("auburntray_"+name, f)
 }
 
-// Handler serves the counts as text, and those of the process.
+// Handler returns a handler that serves the metrics of the instance and of the process.
 func (m *Meter) Handler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain; version=0.0.4")
@@ -123,25 +124,26 @@
 	})
 }
 
-// escaped returns a name as the value of a label. Names of groups and targets come from
-// outside; the library panics on a quotation mark in a label, or a line end.
-func escaped(name string) string {
+// escape returns a name as the value of a label. Names of groups and targets are input from other
+// systems, and the library panics on an unescaped quotation mark or line end in a label.
+func escape(name string) string {
 	return escaper.Replace(name)
 }
 
 // escaper is safe for concurrent use.
 var escaper = strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`) //nolint:gochecknoglobals // A constant.
 
+// writeLoads writes the load of each target and whether it is excluded.
 func writeLoads(w io.Writer, l []Load) {
 	for _, x := range l {
-		k := `{target="` + escaped(x.Target) + `",group="` + escaped(x.Group) + `"}`
+		k := `{target="` + escape(x.Target) + `",group="` + escape(x.Group) + `"}`
 		metrics.WriteGaugeFloat64(w, "auburntray_target_calls"+k, x.Calls)
 
-		var left uint64
-		if x.Left {
-			left = 1
+		var excluded uint64
+		if x.Excluded {
+			excluded = 1
 		}
 
-		metrics.WriteGaugeUint64(w, "auburntray_target_left_alone"+k, left)
+		metrics.WriteGaugeUint64(w, "auburntray_target_left_alone"+k, excluded)
 	}
 }
--- a/internal/meter/meter_test.go
+++ b/internal/meter/meter_test.go
@@ -12,21 +12,21 @@
 	"github.com/auburntray/auburntray/internal/meter"
 )
 
-// Whoever looks for the target that is behind many failures finds its load, and
-// whether it is left alone, beside the counts.
-func TestCountsAsText(t *testing.T) {
+// The metrics show the load of each target and whether it is excluded, so that an operator can find
+// the target behind many failures.
+func TestMetricsAsText(t *testing.T) {
 	i := is.New(t)
 	m := meter.New()
 	m.Call("once", meter.Served, 20*time.Millisecond)
 	m.Attempt("g", "bad")
 	m.Refusal("noTarget")
 	m.Read("config", "platform", false)
-	m.Unusable("targets", "wrongType")
-	m.Left("targetFailing", true)
-	m.Left("targetFailing", false)
-	m.Follow("targets", func() float64 { return 2 })
-	m.Loads(func() []meter.Load {
-		return []meter.Load{{Target: "t1", Group: "g", Calls: 3}, {Target: "t2", Group: "g", Left: true}}
+	m.UnusableRecord("targets", "wrongType")
+	m.HealthChange("targetFailing", true)
+	m.HealthChange("targetFailing", false)
+	m.RegisterGauge("targets", func() float64 { return 2 })
+	m.SetLoads(func() []meter.Load {
+		return []meter.Load{{Target: "t1", Group: "g", Calls: 3}, {Target: "t2", Group: "g", Excluded: true}}
 	})
 
 	w := httptest.NewRecorder()
@@ -50,21 +50,20 @@
 	}
 }
 
-// A user would see calls end without an answer, and an operator no counts at all: a catalog
-// names a group with a quotation mark or a line end in its name, and the first count by its
-// name panics.
-func TestNamesThatAreNoLabels(t *testing.T) {
+// Guards against a panic on a group whose name has a quotation mark or a line end: calls would get no
+// answer, and the metrics could not be read.
+func TestNamesAreEscaped(t *testing.T) {
 	for name, x := range map[string]struct{ group, want string }{
 		"quotation mark": {`a"b`, `a\"b`},
 		"line end":       {"a\nb", `a\nb`},
 		"backslash":      {`a\`, `a\\`},
-		"as they are":    {`a{b=1},c`, `a{b=1},c`},
+		"no escape":      {`a{b=1},c`, `a{b=1},c`},
 	} {
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
 			m := meter.New()
 			m.Attempt(x.group, "good")
-			m.Loads(func() []meter.Load { return []meter.Load{{Target: x.group, Group: x.group, Calls: 3}} })
+			m.SetLoads(func() []meter.Load { return []meter.Load{{Target: x.group, Group: x.group, Calls: 3}} })
 
 			w := httptest.NewRecorder()
 			m.Handler().ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
--- a/internal/reconciler/reconciler.go
+++ b/internal/reconciler/reconciler.go
@@ -185,7 +185,7 @@
 		return err
 	}
 
-	r.counter.Add(counter.Orders, 1)
+	r.counter.Add(counter.Commands, 1)
 	logrus.WithFields(logrus.Fields{"event": "ordered", "target": t.Name, "model": t.Model, "fence": fence}).Info()
 
 	return nil
--- a/internal/reloader/reloader.go
+++ b/internal/reloader/reloader.go
@@ -1,4 +1,4 @@
-// Package reloader applies a settings file again when it has changed.
+// Package reloader applies a settings file whenever it changes.
 package reloader
 
 import (
@@ -10,49 +10,48 @@
 	"github.com/sirupsen/logrus"
 )
 
-// lookEvery is how late a change that comes without a signal may be noticed. A look
-// reads some kilobytes.
-const lookEvery = 2 * time.Second
+// pollInterval bounds the time until a change without a signal is found. Each poll reads a few kilobytes.
+const pollInterval = 2 * time.Second
 
-// Reloader follows one file. Its method Run may be called once.
+// Reloader watches one settings file. Its method Run may be called once.
 type Reloader struct {
 	path  string
 	apply func([]byte) error
-	last  []byte
-	hangs <-chan struct{}
+	// last is the content that was applied or refused last.
+	last    []byte
+	hangUps <-chan struct{}
 }
 
-// New returns a Reloader of the file at a path, which is also looked at whenever a
-// channel has an element. The function is given the file's content after each change from
-// the one in force; its error refuses the content, and what was in force stands.
+// New returns a Reloader for the file at a path, which it also reads whenever it receives from hangUps. It
+// calls apply with each new content. An error of apply means that the content is refused and the settings
+// in force remain; the same content is not applied again.
 //
-// The content in force is the caller's to give. A file that was read once more here may
-// have changed since: the change would count as known and never come into force.
-func New(path string, inForce []byte, hangs <-chan struct{}, apply func([]byte) error) *Reloader {
-	return &Reloader{path: path, apply: apply, last: inForce, hangs: hangs}
+// The caller passes the content that is in force. If New read the file itself, a change since the caller
+// had read it would be taken for the content in force and never be applied.
+func New(path string, inForce []byte, hangUps <-chan struct{}, apply func([]byte) error) *Reloader {
+	return &Reloader{path: path, apply: apply, last: inForce, hangUps: hangUps}
 }
 
-// Run looks at the file when it is told to and once in a while, until the context
-// ends.
+// Run checks the file after each hang-up signal and every 2 s, until the context is done.
 func (r *Reloader) Run(c context.Context) {
-	t := time.NewTicker(lookEvery)
+	t := time.NewTicker(pollInterval)
 	defer t.Stop()
 
 	for {
 		select {
-		case <-r.hangs:
-			r.look("signal")
+		case <-r.hangUps:
+			r.check("signal")
 		case <-t.C:
-			r.look("timer")
+			r.check("timer")
 		case <-c.Done():
 			return
 		}
 	}
 }
 
-// look applies the file if it has changed. A file that is just being written may be
-// cut short; it is refused, and looked at again when it is whole.
-func (r *Reloader) look(cause string) {
+// check applies the file if it has changed. A file that is only partly written is refused, and applied at
+// a later check once it is complete.
+func (r *Reloader) check(cause string) {
 	l := logrus.WithFields(logrus.Fields{"cause": cause, "path": r.path})
 
 	b, err := os.ReadFile(r.path)
--- a/internal/reloader/reloader_test.go
+++ b/internal/reloader/reloader_test.go
@@ -17,46 +17,46 @@
 	"github.com/auburntray/auburntray/internal/standin/waiter"
 )
 
-// applied notes what was applied.
-type applied struct {
+// recorder records the contents that were applied.
+type recorder struct {
 	mu   sync.Mutex
 	list []string
 }
 
-func (a *applied) apply(b []byte) error {
-	a.mu.Lock()
-	defer a.mu.Unlock()
+func (r *recorder) apply(b []byte) error {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 
-	a.list = append(a.list, string(b))
+	r.list = append(r.list, string(b))
 
 	if string(b) == "bad" {
-		return errors.New("bad settings")
+		return errors.New("invalid settings")
 	}
 
 	return nil
 }
 
-func (a *applied) all() []string {
-	a.mu.Lock()
-	defer a.mu.Unlock()
+func (r *recorder) all() []string {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 
-	return append([]string(nil), a.list...)
+	return append([]string(nil), r.list...)
 }
 
-func (a *applied) has(s string) bool {
-	a.mu.Lock()
-	defer a.mu.Unlock()
+func (r *recorder) has(s string) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 
-	return len(a.list) > 0 && a.list[len(a.list)-1] == s
+	return len(r.list) > 0 && r.list[len(r.list)-1] == s
 }
 
-func start(t *testing.T) (string, *applied) {
+func start(t *testing.T) (string, *recorder) {
 	t.Helper()
 
 	p := filepath.Join(t.TempDir(), "settings")
 	write(t, p, "one")
 
-	a := &applied{}
+	a := &recorder{}
 
 	x, stop := signaler.New(func(os.Signal, signaler.Use) {})
 
@@ -84,9 +84,8 @@
 	}
 }
 
-// The platform changes the settings of all instances and sends each SIGHUP. Every
-// caller's connection broke: nobody had asked for the signal, and it ends a process
-// that has not. Settings that can't be used must not end it either.
+// Guards against an instance that exits on SIGHUP, which breaks all connections: that is the default of
+// the signal unless the process handles it. Invalid settings must not end the process either.
 func TestHangUpReloads(t *testing.T) {
 	p, a := start(t)
 	self, err := os.FindProcess(os.Getpid())
@@ -99,8 +98,8 @@
 	}
 }
 
-// Settings are changed and no signal comes.
-func TestChangeWithoutASignal(t *testing.T) {
+// The settings change without a signal.
+func TestChangeWithoutSignal(t *testing.T) {
 	p, a := start(t)
 
 	write(t, p, "two")
@@ -108,7 +107,7 @@
 }
 
 // A signal without a change applies nothing.
-func TestNothingChanged(t *testing.T) {
+func TestSignalWithoutChange(t *testing.T) {
 	_, a := start(t)
 	self, err := os.FindProcess(os.Getpid())
 	is.New(t).NoErr(err)
@@ -118,9 +117,9 @@
 	is.New(t).True(!a.has("one"))
 }
 
-// The file is away while it is looked at, by a signal and by the clock. What was in force
-// stands, and the file is taken when it is there again.
-func TestFileThatIsNotThere(t *testing.T) {
+// The file is missing when a signal and the timer check it. The settings in force remain, and the file is
+// applied once it exists again.
+func TestMissingFile(t *testing.T) {
 	p, a := start(t)
 	i := is.New(t)
 	i.NoErr(os.Remove(p))
@@ -136,14 +135,13 @@
 	i.Equal(a.all(), []string{"two"})
 }
 
-// The settings changed while a process started: it had read the old ones, and then took
-// the new ones for those in force. It went on with the address of a store that was gone,
-// and no look at the file ever showed a difference.
-func TestFileThatChangedDuringTheStart(t *testing.T) {
+// Guards against a change during the start that is never applied: the process had read the old settings and
+// then took the new file for the content in force, so it kept the address of a store that was gone.
+func TestChangeDuringStart(t *testing.T) {
 	p := filepath.Join(t.TempDir(), "settings")
 	write(t, p, "new")
 
-	a := &applied{}
+	a := &recorder{}
 	r := reloader.New(p, []byte("old"), nil, a.apply)
 
 	c, end := context.WithCancel(t.Context())
--- a/internal/router/components.go
+++ b/internal/router/components.go
@@ -60,7 +60,7 @@
 	var c *tls.Config
 
 	if s.PeerCert != "" {
-		x, err := certifier.Peers(s.PeerCert, s.PeerKey, s.PeerCA)
+		x, err := certifier.PeerConfig(s.PeerCert, s.PeerKey, s.PeerCA)
 		if err != nil {
 			return nil, errors.Mark(err, ErrStart)
 		}
--- a/internal/router/fleet_test.go
+++ b/internal/router/fleet_test.go
@@ -225,7 +225,7 @@
 	f.t.Helper()
 	waiter.Until(f.t, "the membership of all routers", func() bool {
 		for _, n := range f.instances {
-			if n.metric(counter.Routers) != int64(len(f.instances)) {
+			if n.metric(counter.LiveRouters) != int64(len(f.instances)) {
 				return false
 			}
 		}
--- a/internal/router/run.go
+++ b/internal/router/run.go
@@ -42,13 +42,13 @@
 // registerGauges registers the metrics that are computed when they are read.
 func (r *Router) registerGauges() {
 	n := r.counter
-	n.Follow(counter.Revision, func() int64 { return int64(r.follower.Revision()) }) //nolint:gosec // Below 2^63.
-	n.Follow(counter.Routers, func() int64 { return int64(len(r.joiner.Live())) })
-	n.Follow(counter.InFlight, func() int64 { return int64(r.drainer.Running()) })
-	n.Follow(counter.Places, func() int64 { return int64(r.supervisor.PlacementCount()) })
-	n.Follow(counter.PlatformBytes, r.recorder.Bytes)
-	n.Follow(counter.ControlSent, func() int64 { s, _ := r.messenger.Traffic().Bytes(); return s })
-	n.Follow(counter.ControlReceived, func() int64 { _, s := r.messenger.Traffic().Bytes(); return s })
+	n.RegisterGauge(counter.Revision, func() int64 { return int64(r.follower.Revision()) }) //nolint:gosec // Below 2^63.
+	n.RegisterGauge(counter.LiveRouters, func() int64 { return int64(len(r.joiner.Live())) })
+	n.RegisterGauge(counter.InFlight, func() int64 { return int64(r.drainer.Running()) })
+	n.RegisterGauge(counter.Placements, func() int64 { return int64(r.supervisor.PlacementCount()) })
+	n.RegisterGauge(counter.PlatformBytes, r.recorder.Bytes)
+	n.RegisterGauge(counter.ControlSent, func() int64 { s, _ := r.messenger.Traffic().Bytes(); return s })
+	n.RegisterGauge(counter.ControlReceived, func() int64 { _, s := r.messenger.Traffic().Bytes(); return s })
 }
 
 // Start begins to serve callers and peers in the background and returns at once. It does not
--- a/internal/router/tls_test.go
+++ b/internal/router/tls_test.go
@@ -161,6 +161,6 @@
 			want = 2
 		}
 
-		i.Equal(n.metric(counter.Routers), want)
+		i.Equal(n.metric(counter.LiveRouters), want)
 	}
 }
--- a/internal/sleeper/sleeper.go
+++ b/internal/sleeper/sleeper.go
@@ -1,4 +1,4 @@
-// Package sleeper pauses until a time has passed or there is no more reason to.
+// Package sleeper provides a sleep that a context can end.
 package sleeper
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Sleep pauses for a time, or until the context ends.
+// Sleep pauses for the duration d or until the context is done, whichever is first. It is safe for concurrent use.
 func Sleep(c context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/tracer/tracer.go
+++ b/internal/tracer/tracer.go
@@ -1,4 +1,4 @@
-// Package tracer sets up traces.
+// Package tracer sets up OpenTelemetry tracing.
 package tracer
 
 import (
@@ -15,16 +15,18 @@
 )
 
 const (
-	name        = "auburntray"
-	stopTimeout = 3 * time.Second
+	name = "auburntray"
+	// shutdownTimeout bounds the export of the remaining spans by the clean-up function.
+	shutdownTimeout = 3 * time.Second
 )
 
-// ErrEndpoint means that the endpoint for traces can't be used.
-var ErrEndpoint = errors.New("the trace endpoint can't be used")
+// ErrEndpoint marks a trace exporter that can't be created.
+var ErrEndpoint = errors.New("invalid trace endpoint")
 
-// New returns a tracer that sends a part of the traces, from 0 to 1, to an
-// endpoint by OTLP over HTTP, and its clean-up function, which sends what is
-// left. Without an endpoint it traces nothing. It fails with ErrEndpoint.
+// New returns a tracer that exports traces to an endpoint by OTLP over HTTP, and its clean-up function,
+// which exports the remaining spans within 3 s. The sample is the part of new traces that is exported, from
+// 0 to 1; traces that a caller has started keep the caller's decision. An empty endpoint disables tracing.
+// It fails with ErrEndpoint.
 func New(c context.Context, endpoint, instance string, sample float64) (trace.Tracer, func(), error) {
 	if endpoint == "" {
 		return noop.NewTracerProvider().Tracer(name), func() {}, nil
@@ -43,7 +45,7 @@
 	)
 
 	return p.Tracer(name), func() {
-		x, stop := context.WithTimeout(context.Background(), stopTimeout)
+		x, stop := context.WithTimeout(context.Background(), shutdownTimeout)
 		defer stop()
 
 		_ = p.Shutdown(x)
--- a/scripts/fleet.sh
+++ b/scripts/fleet.sh
@@ -1,7 +1,7 @@
-# Functions that start and stop a fleet of processes on loopback. A script
-# sources this file; every process that it starts is ended when it exits.
+# Functions that start and stop a fleet of processes on loopback. Scripts source this file; the processes
+# that a script has started are killed when it exits.
 #
-# The processes are ended by the ids that this shell started, never by name.
+# Processes are killed by the process IDs that this shell started, never by name.
 
 root=$(cd "$(dirname "${BASH_SOURCE[0]}")/.." && pwd)
 bin=$root/bin
@@ -15,8 +15,7 @@
 debug_address() { echo "127.0.0.1:$((port + 50 + $1))"; }
 target_address() { echo "127.0.0.1:$((port + 70 + $1))"; }
 
-# start NAME COMMAND... runs a process in the background and notes its id in
-# the variable pid_NAME.
+# start NAME COMMAND... runs a command in the background and sets the variable pid_NAME to its process ID.
 start() {
   local name=$1
   shift
@@ -25,7 +24,7 @@
   printf -v "pid_$name" '%s' $!
 }
 
-# stop_all ends what is left: first as planned, then at once.
+# stop_all kills the processes that are left, including paused ones, and removes their files.
 stop_all() {
   local p
   for p in "${pids[@]}"; do kill -CONT "$p" 2>/dev/null || true; done
@@ -35,14 +34,14 @@
 }
 trap stop_all EXIT
 
-# eventually SECONDS COMMAND... tries a command until it succeeds.
+# eventually SECONDS COMMAND... repeats a command until it succeeds, and fails after the given time.
 eventually() {
   local n=$(($1 * 10))
   shift
   while ! "$@" >/dev/null 2>&1; do
     n=$((n - 1))
     if [ "$n" -le 0 ]; then
-      echo "gave up waiting for: $*" >&2
+      echo "timed out waiting for: $*" >&2
       return 1
     fi
     sleep 0.1
@@ -51,7 +50,7 @@
 
 start_platform() { start platform "$bin/auburntray-standin" platform --listen "$platform" "$@"; }
 
-# start_engine NUMBER DATACENTRE FLAGS...
+# start_engine NUMBER DATACENTRE FLAGS... starts a stand-in for a model engine.
 start_engine() {
   local n=$1 dc=$2
   shift 2
@@ -59,7 +58,7 @@
     --listen "$(target_address "$n")" --platform "$platform" "$@"
 }
 
-# start_service NUMBER DATACENTRE FLAGS...
+# start_service NUMBER DATACENTRE FLAGS... starts a stand-in for a service.
 start_service() {
   local n=$1 dc=$2
   shift 2
@@ -67,7 +66,7 @@
     --listen "$(target_address "$n")" --platform "$platform" "$@"
 }
 
-# start_router NUMBER DATACENTRE FLAGS...
+# start_router NUMBER DATACENTRE FLAGS... starts a router.
 start_router() {
   local n=$1 dc=$2
   shift 2
@@ -76,30 +75,30 @@
     --seeds "$(peer_address 1),$(peer_address 2),$(peer_address 3)" "$@"
 }
 
-ready() { curl -fsS -o /dev/null "http://$(router_address "$1")/readyz"; }
+# router_ready NUMBER reports whether a router is ready.
+router_ready() { curl -fsS -o /dev/null "http://$(router_address "$1")/readyz"; }
 
-# metric NUMBER NAME prints a router's metric.
+# metric NUMBER NAME prints the value of a router's metric.
 metric() {
   curl -fsS "http://$(debug_address "$1")/debug/vars" |
     tr ',{}' '\n\n\n' | sed -n "s/^ *\"$2\": *\([0-9]*\).*/\1/p" | head -1
 }
 
-# at_least NUMBER NAME VALUE says whether a router's metric has reached a value.
-at_least() {
+# metric_at_least NUMBER NAME VALUE reports whether a router's metric is at least a value.
+metric_at_least() {
   local v
   v=$(metric "$1" "$2")
   [ "${v:-0}" -ge "$3" ]
 }
 
-# target_entry NAME NUMBER KIND DATACENTRE CAPACITY LABELS prints a target of a
-# document.
+# target_entry NAME NUMBER KIND DATACENTRE CAPACITY LABELS prints the entry of a target in a document.
 target_entry() {
   printf '"%s": {"address": "%s", "kind": "%s", "region": "region-1", "dataCentre": "%s", "capacity": %s, "labels": %s}' \
     "$1" "$(target_address "$2")" "$3" "$4" "$5" "$6"
 }
 
-# document ENGINES SERVICES prints a document; engines and services stand in the
-# two data centres in turn, engines first by number.
+# document ENGINES SERVICES prints a document with so many engines and services. They are numbered, engines
+# first, and alternate between the two data centres.
 document() {
   local i sep="" dc
   echo '{"targets": {'
--- a/scripts/lint.sh
+++ b/scripts/lint.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Checks formatting, lint and that generated code is current. It installs the
-# pinned tools beside the programs.
+# Checks the format, runs the linters and checks that generated code is current. It installs the pinned tools in
+# bin/tools.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -12,7 +12,7 @@
 "$tools/golangci-lint" fmt --diff ./...
 "$tools/golangci-lint" run ./...
 
-# The generator works on a copy, so that a check never changes the tree.
+# The generator runs on a copy, so that the check never changes the tree.
 copy=$(mktemp -d)
 trap 'rm -rf "$copy"' EXIT
 cp internal/wire/wire.go "$copy/"
--- a/scripts/slopes.sh
+++ b/scripts/slopes.sh
@@ -1,21 +1,22 @@
 #!/usr/bin/env bash
-# Measures what a router spends as the rate of calls grows: processor time,
-# memory and control traffic, on real processes. docs/CAPACITY.md works with the
-# slopes of these lines.
+# Measures the processor time, memory and control traffic of routers at increasing rates of calls, on real
+# processes. docs/CAPACITY.md calculates with the slopes of these figures.
 set -euo pipefail
 source "$(dirname "$0")/fleet.sh"
 
-# ticks PID prints the processor time of a process in hundredths of a second.
-ticks() { awk '{print $14 + $15}' "/proc/$1/stat"; }
-memory() { sed -n 's/^VmRSS:[[:space:]]*\([0-9]*\) kB/\1/p' "/proc/$1/status"; }
+# cpu_ticks PID prints the processor time of a process in hundredths of a second.
+cpu_ticks() { awk '{print $14 + $15}' "/proc/$1/stat"; }
 
-# spent prints processor hundredths, control bytes and platform bytes of all
-# routers so far.
-spent() {
+# resident_kb PID prints the resident memory of a process in KB.
+resident_kb() { sed -n 's/^VmRSS:[[:space:]]*\([0-9]*\) kB/\1/p' "/proc/$1/status"; }
+
+# usage prints the sums over all routers since their start: processor time in hundredths of a second, control
+# bytes and platform bytes.
+usage() {
   local i t=0 c=0 p=0 name
   for i in 1 2 3; do
     name=pid_router_$i
-    t=$((t + $(ticks "${!name}")))
+    t=$((t + $(cpu_ticks "${!name}")))
     c=$((c + $(metric "$i" controlBytesSent) + $(metric "$i" controlBytesReceived)))
     p=$((p + $(metric "$i" platformBytes)))
   done
@@ -29,18 +30,21 @@
 for i in 1 2 3; do start_router "$i" "dc-$(((i + 1) % 2 + 1))"; done
 document 4 2 | sed 's/"capacity": 8/"capacity": 200/' >"$dir/first.json"
 "$bin/auburntray" publish "$dir/first.json" --platform "$platform" --author day-shift --base 0 >/dev/null
-for i in 1 2 3; do eventually 10 at_least "$i" routersLive 3; done
+for i in 1 2 3; do eventually 10 metric_at_least "$i" routersLive 3; done
 
+# measure NAME SECONDS COMMAND... runs a command and prints the mean usage per router during that time and the
+# resident memory of router 1.
 measure() {
   local name=$1 seconds=$2
   shift 2
-  read -r t0 c0 p0 <<<"$(spent)"
+  read -r t0 c0 p0 <<<"$(usage)"
   "$@"
-  read -r t1 c1 p1 <<<"$(spent)"
-  awk -v n="$name" -v s="$seconds" -v t="$((t1 - t0))" -v c="$((c1 - c0))" -v p="$((p1 - p0))" -v m="$(memory "$pid_router_1")" \
+  read -r t1 c1 p1 <<<"$(usage)"
+  awk -v n="$name" -v s="$seconds" -v t="$((t1 - t0))" -v c="$((c1 - c0))" -v p="$((p1 - p0))" -v m="$(resident_kb "$pid_router_1")" \
     'BEGIN {printf "slopes: case=%s coresPerRouter=%.4f controlBytesPerSecond=%.0f platformBytesPerSecond=%.0f residentKB=%d\n", n, t/100/s/3, c/s/3, p/s/3, m}'
 }
 
+# load RATE TOKENS BOOKINGPART sends a load for 8 s.
 load() {
   "$bin/auburntray" load --addresses "$(router_address 1),$(router_address 2),$(router_address 3)" --duration 8s \
     --chats 400 --tokens "$2" --rate "$1" --booking-part "$3" --repeat-part 0 >"$dir/load.out" 2>/dev/null
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Runs all tests with the race detector. The tests that KNOWN-RED.txt lists run last, by
-# themselves: how they end is printed and does not fail the run.
+# Runs all tests with the race detector. Tests that KNOWN-RED.txt lists run last, each by itself; their results
+# are printed and do not fail the run.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
