--- a/internal/commander/gateway.go
+++ b/internal/commander/gateway.go
@@ -49,7 +49,7 @@
 	}
 	defer flush()
 
-	x, end := signaler.New(tellSignal)
+	x, end := signaler.New(logSignal)
 	defer end()
 
 	c, stop := context.WithCancel(c)
@@ -86,7 +86,7 @@
 	m.RegisterGauge("log_lines_dropped_total", func() float64 { return float64(l.Dropped()) })
 	m.RegisterGauge("log_lines_failed_total", func() float64 { return float64(l.Failed()) })
 
-	go reloader.New(path, b, x.HangUps(), func(b []byte) error { return retune(b, y, g, t) }).Run(c)
+	go reloader.New(path, b, x.Reloads(), func(b []byte) error { return retune(b, y, g, t) }).Run(c)
 
 	return a, nil
 }
--- a/internal/commander/root.go
+++ b/internal/commander/root.go
@@ -86,7 +86,7 @@
 	return len(b), nil
 }
 
-// tellSignal logs a signal that came.
-func tellSignal(s os.Signal, u signaler.Use) {
+// logSignal logs a signal that came.
+func logSignal(s os.Signal, u signaler.Effect) {
 	logrus.WithFields(logrus.Fields{"event": "signalTaken", "signal": s, "use": u}).Info()
 }
--- a/internal/commander/router.go
+++ b/internal/commander/router.go
@@ -53,7 +53,7 @@
 	}
 	defer flush()
 
-	x, end := signaler.New(tellSignal)
+	x, end := signaler.New(logSignal)
 	defer end()
 
 	return serve(x.Stopping(), func() (*fx.App, error) {
--- a/internal/driver/chat.go
+++ b/internal/driver/chat.go
@@ -65,7 +65,7 @@
 	x.Set(exchanger.HeaderDeadline, d.settings.Deadline.String())
 
 	if h.placement != "" {
-		x.Set(exchanger.HeaderPlace, h.placement)
+		x.Set(exchanger.HeaderPlacement, h.placement)
 	}
 
 	a := d.send(c, call{path: "/v1/chat/completions", body: b, header: x}, d.readStream)
@@ -87,7 +87,7 @@
 		return
 	}
 
-	h.placement = a.header.Get(exchanger.HeaderPlace)
+	h.placement = a.header.Get(exchanger.HeaderPlacement)
 	h.messages = append(h.messages, message{Role: "assistant", Content: string(a.body)})
 
 	if len(h.messages) > maxHistoryMessages {
--- a/internal/exchanger/exchange.go
+++ b/internal/exchanger/exchange.go
@@ -1,5 +1,5 @@
-// Package exchanger carries one call through the filters, from the caller's
-// request to the answer.
+// Package exchanger holds the state of one call as it passes through the filters, from
+// the caller's request to the answer.
 package exchanger
 
 import (
@@ -7,90 +7,93 @@
 	"net/http"
 	"time"
 
-	"github.com/auburntray/auburntray/internal/asker"
 	"github.com/auburntray/auburntray/internal/digester"
 	"github.com/auburntray/auburntray/internal/follower"
 	"github.com/auburntray/auburntray/internal/matcher"
 	"github.com/auburntray/auburntray/internal/registrar"
+	"github.com/auburntray/auburntray/internal/requester"
 )
 
-// Exchange is one call. Each filter reads what earlier ones found and adds its
-// own; only the goroutine that serves the call touches it.
+// Exchange is the state of one call. Each filter reads the fields that earlier filters
+// set and sets its own. It is not safe for concurrent use: only the goroutine that serves
+// the call accesses it.
 type Exchange struct {
 	Writer  http.ResponseWriter
 	Request *http.Request
-	// ID names the call in logs and towards targets.
+	// ID identifies the call in logs and in requests to targets.
 	ID string
 
-	// Set by accept.
+	// Set by the filter accept.
 	Body  []byte
 	Start time.Time
 
-	// Set by identify.
+	// Set by the filter identify. Hint is the target number from the placement token,
+	// Key the idempotency key.
 	Customer string
 	Chat     uint64
 	Hint     uint32
 	Key      string
 	Deadline time.Time
 	Traffic  matcher.Traffic
-	// Assistant says that the call is a chat completion; the fields after it
-	// are set for these only.
-	Assistant bool
-	Stream    bool
-	// Prompt is about the prompt's length in tokens.
+	// ChatCompletion reports that the call is a chat completion. Stream and Prompt are set only
+	// for chat completions.
+	ChatCompletion bool
+	Stream         bool
+	// Prompt is the estimated length of the prompt in tokens.
 	Prompt int
 
-	// Set by match.
-	Force *follower.Config
-	Rule  *matcher.Rule
+	// Set by the filter match, from the configuration in force.
+	Config *follower.Config
+	Rule   *matcher.Rule
 
-	// Set by isolate. Digest is the same for each sending of the call, and EndTrial, unless it
-	// is nil, tells that a sending that was let out is over.
+	// Set by the filter isolate. Digest is the same each time that the call is sent.
+	// EndTrial, if not nil, reports the end of the current trial, the one sending of a
+	// suspected call that was admitted.
 	Digest   digester.Digest
 	EndTrial func()
 
-	// Set by claim; nil when nothing was claimed.
+	// Set by the filter claim. Claim is nil if no key was claimed.
 	Claim *registrar.Claim
 
-	// Set by pick, for each attempt anew.
-	Place  asker.Place
-	Target *matcher.Target
+	// Set by the filter pick for each attempt.
+	Reservation requester.Reservation
+	Target      *matcher.Target
 	// Attempt counts from 1.
 	Attempt  int
 	Excluded []uint32
-	// MayHaveRun says that an attempt so far may have run.
+	// MayHaveRun reports that a target may have run an attempt so far.
 	MayHaveRun bool
 
-	// Set by send and relay.
+	// Set by the filters send and relay.
 	Response *http.Response
-	// Relayed says that a part of the answer has reached the caller.
+	// Relayed reports that a part of the answer has been sent to the caller.
 	Relayed bool
 	Answer  Answer
 	Result  Result
 }
 
-// Answer is an answer that was read whole.
+// Answer is a complete answer.
 type Answer struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// Result is what is known of the last attempt.
+// Result describes the last attempt.
 type Result struct {
-	// Sent says that the request may have reached the target.
+	// Sent reports that the request may have reached the target.
 	Sent bool
-	// NotRun says that the target provably did not run it.
+	// NotRun reports that the target certainly did not run the request.
 	NotRun bool
-	// TargetFailed says that the failure was the target's.
+	// TargetFailed reports that the target caused the failure.
 	TargetFailed bool
 }
 
-// Filter is one step of a call.
+// Filter is one step in the processing of a call.
 type Filter interface {
-	// Name is the name of the step's span.
+	// Name returns the name of the step's trace span.
 	Name() string
-	// Apply takes the step. An error ends the call; a *Refusal is the answer to
-	// the caller.
+	// Apply performs the step. An error ends the call; if it is a *Refusal, that is the
+	// answer to the caller.
 	Apply(c context.Context, x *Exchange) error
 }
--- a/internal/exchanger/headers.go
+++ b/internal/exchanger/headers.go
@@ -2,15 +2,15 @@
 
 // Headers that callers send.
 const (
-	// HeaderCustomer names the customer; required.
+	// HeaderCustomer names the customer; it is required.
 	HeaderCustomer = "Auburntray-Customer"
-	// HeaderChat names the chat; without it the chat is derived from the
-	// beginning of its prompt.
+	// HeaderChat names the chat. Without it, the chat is derived from the beginning of
+	// the prompt.
 	HeaderChat = "Auburntray-Chat"
-	// HeaderDeadline is how long the caller waits, as a Go duration.
+	// HeaderDeadline is the time that the caller waits for the answer, as a Go duration.
 	HeaderDeadline = "Auburntray-Deadline"
-	// HeaderPlace is the token of the last answer in the chat.
-	HeaderPlace = "Auburntray-Place"
+	// HeaderPlacement is the placement token from the previous answer in the chat.
+	HeaderPlacement = "Auburntray-Place"
 	// HeaderKey is the idempotency key.
 	HeaderKey = "Idempotency-Key"
 )
@@ -19,8 +19,8 @@
 const (
 	// HeaderOutcome is the Outcome of the call.
 	HeaderOutcome = "Auburntray-Outcome"
-	// HeaderReplayed says that the answer is the recorded one of an earlier
-	// call with the same key.
+	// HeaderReplayed marks an answer as the recorded one of an earlier call with the same
+	// key.
 	HeaderReplayed = "Auburntray-Replayed"
 	// HeaderTarget names the target that answered.
 	HeaderTarget = "Auburntray-Target"
@@ -36,16 +36,16 @@
 	TargetLeaving     = "X-Leaving"
 )
 
-// Outcome says what is true of a call.
+// Outcome states whether a call was run.
 type Outcome string
 
-// The outcomes.
+// Outcomes of calls.
 const (
-	// NotRun means that this call was not run and will not be: it is safe to
-	// send it again.
+	// NotRun means that this call was not run and will not be; it is safe to send it
+	// again.
 	NotRun Outcome = "notRun"
-	// Ran means that the call ran and this is its answer.
+	// Ran means that the call was run and that this is its answer.
 	Ran Outcome = "ran"
-	// Unknown means that the call may have run.
+	// Unknown means that the call may have been run.
 	Unknown Outcome = "unknown"
 )
--- a/internal/filterer/attempt.go
+++ b/internal/filterer/attempt.go
@@ -83,7 +83,7 @@
 
 	a.Isolate.recordResult(c, x, err)
 
-	a.Slots.Release(x.Place, granter.Outcome{
+	a.Slots.Release(x.Reservation, granter.Outcome{
 		OK: !x.Result.TargetFailed, NeverSent: !x.Result.Sent && !x.Result.TargetFailed,
 	})
 
@@ -145,7 +145,7 @@
 func (a *Attempt) failure(c context.Context, x *exchanger.Exchange, err error) error {
 	switch {
 	case x.Request.Context().Err() != nil:
-		return exchanger.Fail(exchanger.CodeCallerHangUp, "the caller closed the connection")
+		return exchanger.Fail(exchanger.CodeCallerDisconnected, "the caller closed the connection")
 	case c.Err() != nil && !x.MayHaveRun:
 		return exchanger.Refuse(http.StatusGatewayTimeout, exchanger.CodeDeadline, 0, "the deadline passed before the call was run")
 	case c.Err() != nil:
@@ -154,7 +154,7 @@
 
 		return r
 	case x.Relayed:
-		return exchanger.Fail(exchanger.CodeBroken, "the streamed answer was interrupted and could not be resumed")
+		return exchanger.Fail(exchanger.CodeAnswerBroken, "the streamed answer was interrupted and could not be resumed")
 	case x.MayHaveRun:
 		return exchanger.Fail(exchanger.CodeTargetFailed, "the target failed: %v", err)
 	default:
--- a/internal/filterer/claim.go
+++ b/internal/filterer/claim.go
@@ -62,7 +62,7 @@
 
 	s, err := f.Claims.Claim(c, q)
 	if err != nil {
-		return exchanger.Refuse(http.StatusServiceUnavailable, exchanger.CodeNoClaim, defaultRetryAfter,
+		return exchanger.Refuse(http.StatusServiceUnavailable, exchanger.CodeLogUnavailable, defaultRetryAfter,
 			"the idempotency key can't be claimed at the moment; this call was not run, an earlier one with the key may have run")
 	}
 
@@ -81,7 +81,7 @@
 	case claimer.Ran:
 		if s.Answer.Truncated {
 			return &exchanger.Refusal{
-				Code: exchanger.CodeNotRecorded, Status: http.StatusConflict, Outcome: exchanger.Ran,
+				Code: exchanger.CodeAnswerNotRecorded, Status: http.StatusConflict, Outcome: exchanger.Ran,
 				Message: "the call ran, but its answer was streamed or too long to be recorded",
 			}
 		}
--- a/internal/filterer/filterer_test.go
+++ b/internal/filterer/filterer_test.go
@@ -19,7 +19,6 @@
 	"github.com/sirupsen/logrus"
 	"go.opentelemetry.io/otel/trace/noop"
 
-	"github.com/auburntray/auburntray/internal/asker"
 	"github.com/auburntray/auburntray/internal/claimer"
 	"github.com/auburntray/auburntray/internal/counter"
 	"github.com/auburntray/auburntray/internal/drainer"
@@ -32,6 +31,7 @@
 	"github.com/auburntray/auburntray/internal/parser"
 	"github.com/auburntray/auburntray/internal/reducer"
 	"github.com/auburntray/auburntray/internal/registrar"
+	"github.com/auburntray/auburntray/internal/requester"
 	"github.com/auburntray/auburntray/internal/sender"
 	"github.com/auburntray/auburntray/internal/tracker"
 )
@@ -46,7 +46,7 @@
 	settled      []claimer.Outcome
 	// reservations are the answers to the first requests for a slot. Later requests
 	// are granted.
-	reservations []asker.Place
+	reservations []requester.Reservation
 	granted      int
 	released     int
 	// outcomes are the outcomes with which slots were released.
@@ -73,7 +73,7 @@
 	return nil
 }
 
-func (w *fakeDeps) Ask(_ context.Context, r asker.Request) (asker.Place, error) {
+func (w *fakeDeps) Reserve(_ context.Context, r requester.Request) (requester.Reservation, error) {
 	if len(w.reservations) > 0 {
 		v := w.reservations[0]
 		w.reservations = w.reservations[1:]
@@ -89,19 +89,19 @@
 		n = "t1"
 	}
 
-	return asker.Place{Target: hasher.Name(n)}, nil
+	return requester.Reservation{Target: hasher.Name(n)}, nil
 }
 
-func (w *fakeDeps) Release(_ asker.Place, o granter.Outcome) {
+func (w *fakeDeps) Release(_ requester.Reservation, o granter.Outcome) {
 	w.released++
 	w.outcomes = append(w.outcomes, o)
 }
 
-func (w *fakeDeps) Stalled(time.Time) bool                         { return w.stalled }
-func (w *fakeDeps) Report(asker.Place, int, tracker.State)         {}
-func (w *fakeDeps) Rest(asker.Place, time.Duration)                {}
-func (w *fakeDeps) Cancel(*exchanger.Exchange)                     {}
-func (w *fakeDeps) respond(b string, h http.Header) *http.Response { return response(200, b, h) }
+func (w *fakeDeps) Stalled(time.Time) bool                           { return w.stalled }
+func (w *fakeDeps) Report(requester.Reservation, int, tracker.State) {}
+func (w *fakeDeps) BackOff(requester.Reservation, time.Duration)     {}
+func (w *fakeDeps) Cancel(*exchanger.Exchange)                       {}
+func (w *fakeDeps) respond(b string, h http.Header) *http.Response   { return response(200, b, h) }
 
 func (w *fakeDeps) Send(context.Context, *exchanger.Exchange) (*http.Response, error) {
 	w.sent++
@@ -181,7 +181,7 @@
 func TestCalls(t *testing.T) {
 	logrus.SetLevel(logrus.FatalLevel)
 
-	refused := asker.Place{Reason: granter.OverShare, RetryAfter: time.Second}
+	refused := requester.Reservation{Reason: granter.OverShare, RetryAfter: time.Second}
 
 	for name, tc := range map[string]struct {
 		method  string
@@ -199,7 +199,7 @@
 			"POST", &fakeDeps{claimOutcome: claimer.Won, claimDelay: 11 * time.Second}, exchanger.NotRun, 0, []claimer.Outcome{claimer.NotRun},
 		},
 		"refused after the claim": {
-			"POST", &fakeDeps{claimOutcome: claimer.Won, reservations: []asker.Place{refused, refused}}, exchanger.NotRun, 0, []claimer.Outcome{claimer.NotRun},
+			"POST", &fakeDeps{claimOutcome: claimer.Won, reservations: []requester.Reservation{refused, refused}}, exchanger.NotRun, 0, []claimer.Outcome{claimer.NotRun},
 		},
 		"claim log unavailable": {
 			"POST", &fakeDeps{claimErr: registrar.ErrNotClaimed}, exchanger.NotRun, 0, nil,
@@ -229,11 +229,11 @@
 			"GET", &fakeDeps{responses: []func() (*http.Response, error){failWith(sender.ErrBroken), respondWith(500, "X", "y")}}, exchanger.Ran, 3, nil,
 		},
 		"refused after an attempt that may have run": {
-			"GET", &fakeDeps{reservations: []asker.Place{{Target: hasher.Name("t0")}, refused, refused}, responses: []func() (*http.Response, error){failWith(sender.ErrBroken)}},
+			"GET", &fakeDeps{reservations: []requester.Reservation{{Target: hasher.Name("t0")}, refused, refused}, responses: []func() (*http.Response, error){failWith(sender.ErrBroken)}},
 			exchanger.Unknown, 1, nil,
 		},
 		"cell redirects, then asks to wait": {
-			"GET", &fakeDeps{reservations: []asker.Place{
+			"GET", &fakeDeps{reservations: []requester.Reservation{
 				{Reason: granter.Elsewhere, Target: configuration().Matcher.Cells()[0].ID}, {Reason: granter.Wait, RetryAfter: time.Second},
 			}}, exchanger.Ran, 1, nil,
 		},
--- a/internal/filterer/identify.go
+++ b/internal/filterer/identify.go
@@ -103,12 +103,12 @@
 		return exchanger.Refuse(http.StatusBadRequest, exchanger.CodeBadRequest, 0, "messages: must not be empty")
 	}
 
-	x.Assistant = true
+	x.ChatCompletion = true
 	x.Stream = b.Stream
 	x.Traffic.Model = b.Model
 	x.Prompt = len(x.Body) / bytesPerToken
 	x.Chat = chatKey(x, b.Model, b.Messages)
-	x.Hint = parsePlacementToken(x.Request.Header.Get(exchanger.HeaderPlace))
+	x.Hint = parsePlacementToken(x.Request.Header.Get(exchanger.HeaderPlacement))
 
 	return nil
 }
--- a/internal/filterer/isolate.go
+++ b/internal/filterer/isolate.go
@@ -60,7 +60,7 @@
 		return nil
 	}
 
-	return exchanger.Refuse(http.StatusServiceUnavailable, exchanger.CodeHeldBack, v.RetryAfter(), "%s", v.Reason(time.Now()))
+	return exchanger.Refuse(http.StatusServiceUnavailable, exchanger.CodeQuarantined, v.RetryAfter(), "%s", v.Reason(time.Now()))
 }
 
 // allow reports whether the call may be sent to a target now, and otherwise returns the
--- a/internal/filterer/match.go
+++ b/internal/filterer/match.go
@@ -26,18 +26,18 @@
 // with a Refusal if no configuration is in force, the customer is unknown, or no rule
 // matches.
 func (m Match) Apply(_ context.Context, x *exchanger.Exchange) error {
-	x.Force = m.Config()
+	x.Config = m.Config()
 
-	if x.Force.State.Revision == 0 {
+	if x.Config.State.Revision == 0 {
 		return exchanger.Refuse(http.StatusServiceUnavailable, exchanger.CodeNotReady, defaultRetryAfter,
 			"this router has no configuration yet")
 	}
 
-	if !x.Force.Matcher.HasCustomer(x.Customer) {
+	if !x.Config.Matcher.HasCustomer(x.Customer) {
 		return exchanger.Refuse(http.StatusForbidden, exchanger.CodeNoCustomer, 0, "customer %q is unknown", x.Customer)
 	}
 
-	x.Rule = x.Force.Matcher.Match(x.Traffic)
+	x.Rule = x.Config.Matcher.Match(x.Traffic)
 	if x.Rule == nil {
 		return exchanger.Refuse(http.StatusNotFound, exchanger.CodeNoRule, 0, "no rule matches this call")
 	}
--- a/internal/filterer/pick.go
+++ b/internal/filterer/pick.go
@@ -5,12 +5,12 @@
 	"net/http"
 	"time"
 
-	"github.com/auburntray/auburntray/internal/asker"
 	"github.com/auburntray/auburntray/internal/counter"
 	"github.com/auburntray/auburntray/internal/exchanger"
 	"github.com/auburntray/auburntray/internal/granter"
 	"github.com/auburntray/auburntray/internal/hasher"
 	"github.com/auburntray/auburntray/internal/matcher"
+	"github.com/auburntray/auburntray/internal/requester"
 	"github.com/auburntray/auburntray/internal/tracker"
 )
 
@@ -19,10 +19,10 @@
 
 // slots reserves and releases slots at targets and reports the load of targets.
 type slots interface {
-	Ask(c context.Context, r asker.Request) (asker.Place, error)
-	Release(p asker.Place, o granter.Outcome)
-	Report(p asker.Place, requests int, s tracker.State)
-	Rest(p asker.Place, d time.Duration)
+	Reserve(c context.Context, r requester.Request) (requester.Reservation, error)
+	Release(p requester.Reservation, o granter.Outcome)
+	Report(p requester.Reservation, requests int, s tracker.State)
+	BackOff(p requester.Reservation, d time.Duration)
 }
 
 // Pick reserves a slot at a target.
@@ -40,10 +40,10 @@
 // until one grants it. It fails with a Refusal if none does.
 func (p Pick) Apply(c context.Context, x *exchanger.Exchange) error {
 	l := p.rankedCells(x)
-	v := asker.Place{Reason: granter.NoTargets, RetryAfter: defaultRetryAfter}
+	v := requester.Reservation{Reason: granter.NoTargets, RetryAfter: defaultRetryAfter}
 
 	for i, y := range l[:min(len(l), maxCellsPerAttempt)] {
-		r, err := p.reserve(c, x.Force.Matcher, asker.Request{
+		r, err := p.reserve(c, x.Config.Matcher, requester.Request{
 			Cell: y, Rule: x.Rule.ID, Customer: hasher.Name(x.Customer), Chat: x.Chat,
 			Prompt: x.Prompt, Hint: x.Hint, Excluded: x.Excluded,
 		})
@@ -70,10 +70,10 @@
 
 // reserve requests a slot from one cell. It repeats the request while the cell's answer is
 // to wait for the target of the chat's placement, and follows one redirect to another cell.
-func (p Pick) reserve(c context.Context, m *matcher.Matcher, r asker.Request) (asker.Place, error) {
+func (p Pick) reserve(c context.Context, m *matcher.Matcher, r requester.Request) (requester.Reservation, error) {
 	for {
 		y, end := span(c, "ask")
-		v, err := p.Slots.Ask(y, r)
+		v, err := p.Slots.Reserve(y, r)
 		end(err)
 
 		if err != nil || v.Reason != granter.Wait && v.Reason != granter.Elsewhere {
@@ -82,11 +82,11 @@
 
 		if v.Reason == granter.Elsewhere {
 			y := m.Cell(v.Target)
-			if y == nil || r.Sent {
+			if y == nil || r.Forwarded {
 				return v, nil
 			}
 
-			r.Cell, r.Sent = y, true
+			r.Cell, r.Forwarded = y, true
 
 			continue
 		}
@@ -107,9 +107,9 @@
 
 // useGrant sets the target of the granted slot. It fails with a Refusal if this router does
 // not know the target.
-func (p Pick) useGrant(x *exchanger.Exchange, r asker.Place) error {
-	x.Place = r
-	x.Target = x.Force.Matcher.Target(r.Target)
+func (p Pick) useGrant(x *exchanger.Exchange, r requester.Reservation) error {
+	x.Reservation = r
+	x.Target = x.Config.Matcher.Target(r.Target)
 
 	if r.Returned {
 		p.Counter.Add(counter.ReturnedToPlacement, 1)
@@ -128,7 +128,7 @@
 }
 
 // refusal returns the Refusal for a request that no cell granted.
-func (p Pick) refusal(v asker.Place) error {
+func (p Pick) refusal(v requester.Reservation) error {
 	switch v.Reason {
 	case granter.OverShare:
 		p.Counter.Add(counter.RefusedOverShare, 1)
@@ -153,7 +153,7 @@
 		k = hasher.Key(x.ID)
 	}
 
-	l := x.Force.Matcher.Ranked(x.Rule, p.Region, k)
+	l := x.Config.Matcher.Ranked(x.Rule, p.Region, k)
 
 	for i, y := range l {
 		if i > 0 && y.Region == p.Region && y.Contains(x.Hint) {
--- a/internal/filterer/pipeline.go
+++ b/internal/filterer/pipeline.go
@@ -196,8 +196,8 @@
 		h.Set(exchanger.HeaderTarget, x.Target.Name)
 	}
 
-	if x.Target != nil && x.Assistant {
-		h.Set(exchanger.HeaderPlace, placementToken(x.Target.ID))
+	if x.Target != nil && x.ChatCompletion {
+		h.Set(exchanger.HeaderPlacement, placementToken(x.Target.ID))
 	}
 }
 
--- a/internal/filterer/relay.go
+++ b/internal/filterer/relay.go
@@ -49,7 +49,7 @@
 
 	var err error
 
-	if x.Assistant && strings.HasPrefix(x.Response.Header.Get("Content-Type"), "text/event-stream") {
+	if x.ChatCompletion && strings.HasPrefix(x.Response.Header.Get("Content-Type"), "text/event-stream") {
 		err = r.stream(c, x)
 	} else {
 		err = r.buffer(x)
@@ -62,7 +62,7 @@
 	if c.Err() != nil {
 		// The caller no longer waits for the answer. A cancellation at the
 		// target frees its slot for other calls.
-		if x.Assistant {
+		if x.ChatCompletion {
 			r.Counter.Add(counter.Canceled, 1)
 
 			go r.Targets.Cancel(x)
@@ -92,7 +92,7 @@
 	sender.CopyAnswer(h, x.Response.Header)
 	x.Answer = exchanger.Answer{Status: x.Response.StatusCode, Header: h, Body: b}
 
-	if x.Assistant {
+	if x.ChatCompletion {
 		var u struct {
 			Usage sender.Usage `json:"usage"`
 		}
--- a/internal/filterer/relay_test.go
+++ b/internal/filterer/relay_test.go
@@ -84,7 +84,7 @@
 				b, n, w := &breakingTarget{errs: tc.errs}, counter.New(), httptest.NewRecorder()
 
 				x := &exchanger.Exchange{
-					Writer: w, Request: httptest.NewRequest(http.MethodPost, "/", nil), ID: "call", Attempt: 1, Assistant: true, Target: &matcher.Target{},
+					Writer: w, Request: httptest.NewRequest(http.MethodPost, "/", nil), ID: "call", Attempt: 1, ChatCompletion: true, Target: &matcher.Target{},
 					Response: &http.Response{
 						StatusCode: http.StatusOK, Header: http.Header{"Content-Type": {"text/event-stream"}},
 						Body: io.NopCloser(io.MultiReader(strings.NewReader(events(0, 1)), brokenReader{})),
--- a/internal/filterer/send.go
+++ b/internal/filterer/send.go
@@ -56,7 +56,7 @@
 		p := !x.Result.Sent && detector.TimedOut(err) && s.Stalls.Stalled(b)
 		x.Result.TargetFailed = c.Err() == nil && !p
 
-		if c.Err() != nil && x.Assistant {
+		if c.Err() != nil && x.ChatCompletion {
 			go s.Targets.Cancel(x)
 		}
 
@@ -65,10 +65,10 @@
 
 	x.Response = r
 	h := sender.Report(r.Header)
-	s.Slots.Report(x.Place, h.Requests, h.State)
+	s.Slots.Report(x.Reservation, h.Requests, h.State)
 
 	if h.Backoff > 0 && r.StatusCode == http.StatusServiceUnavailable {
-		s.Slots.Rest(x.Place, h.Backoff)
+		s.Slots.BackOff(x.Reservation, h.Backoff)
 	}
 
 	return s.status(x, r)
--- a/internal/gatekeeper/gatekeeper.go
+++ b/internal/gatekeeper/gatekeeper.go
@@ -13,9 +13,9 @@
 	"github.com/auburntray/auburntray/internal/advertiser"
 	"github.com/auburntray/auburntray/internal/drainer"
 	"github.com/auburntray/auburntray/internal/forwarder"
-	"github.com/auburntray/auburntray/internal/idler"
 	"github.com/auburntray/auburntray/internal/joiner"
 	"github.com/auburntray/auburntray/internal/messenger"
+	"github.com/auburntray/auburntray/internal/reaper"
 	"github.com/auburntray/auburntray/internal/replicator"
 	"github.com/auburntray/auburntray/internal/watcher"
 )
@@ -35,7 +35,7 @@
 	advertiser    *advertiser.Advertiser
 	replicator    *replicator.Replicator
 	watchers      []*watcher.Watcher
-	idler         *idler.Idler
+	reaper        *reaper.Reaper
 	callerServer  *http.Server
 	readyServer   *http.Server
 	metricsServer *http.Server
--- a/internal/gatekeeper/members.go
+++ b/internal/gatekeeper/members.go
@@ -52,9 +52,9 @@
 	x := gossiper.Member{ID: uint64(id), Address: m.Address(), Region: s.Region, DataCentre: s.DataCentre}
 	r := mathrand.New(mathrand.NewPCG(x.ID, 0)) //nolint:gosec // Spreads messages.
 	j := joiner.New(m, emptyDirectory{}, gossiper.New(gossiper.DefaultSettings(), r, x), x, s.Seeds, joiner.Hooks{
-		Revision: f.version,
-		Ahead:    func(netip.AddrPort, uint64) {},
-		Seen:     func(recorder.Instance) {},
+		Revision:        f.version,
+		OnNewerRevision: func(netip.AddrPort, uint64) {},
+		OnTargetChange:  func(recorder.Instance) {},
 	})
 	f.instances = (&peak{count: func() int { return len(j.Live()) }, window: instancePeakWindow}).value
 
--- a/internal/gatekeeper/run.go
+++ b/internal/gatekeeper/run.go
@@ -37,7 +37,7 @@
 	g.runInBackground(func() { runEvery(x, removeLapsedInterval, g.evacuations.reportEmptied) })
 	g.runInBackground(func() { runEvery(x, partitionCheckInterval, func() { g.forwarder.CheckConnectivity(x) }) })
 	g.runInBackground(func() { runEvery(x, detector.TickInterval, g.state.recordTick) })
-	g.runInBackground(func() { runEvery(x, idleSweepInterval, func() { g.idler.Sweep() }) })
+	g.runInBackground(func() { runEvery(x, idleSweepInterval, func() { g.reaper.Sweep() }) })
 	g.messenger.Serve()
 	g.runInBackground(func() { g.joiner.Run(x) })
 	g.runInBackground(func() { g.advertiser.Run(x) })
--- a/internal/gatekeeper/servers.go
+++ b/internal/gatekeeper/servers.go
@@ -7,8 +7,8 @@
 	"github.com/gin-gonic/gin"
 
 	"github.com/auburntray/auburntray/internal/drainer"
-	"github.com/auburntray/auburntray/internal/idler"
 	"github.com/auburntray/auburntray/internal/meter"
+	"github.com/auburntray/auburntray/internal/reaper"
 	"github.com/auburntray/auburntray/internal/recoverer"
 )
 
@@ -36,10 +36,10 @@
 	r := gin.New()
 	r.GET(readyPath, g.answerReady)
 
-	g.idler = idler.New(g.connectionLimits)
+	g.reaper = reaper.New(g.connectionLimits)
 	g.callerServer = &http.Server{
 		Handler: c, ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeaderBytes,
-		ConnState: g.idler.Track, ConnContext: g.idler.Context,
+		ConnState: g.reaper.Track, ConnContext: g.reaper.Context,
 	}
 	g.readyServer = &http.Server{Handler: r, ReadHeaderTimeout: headerTimeout}
 
@@ -50,18 +50,18 @@
 }
 
 // connectionLimits returns how long a caller's connection may remain without a call.
-func (g *Gatekeeper) connectionLimits() idler.Limits {
+func (g *Gatekeeper) connectionLimits() reaper.Limits {
 	c := g.state.Catalog()
 	if c == nil {
-		return idler.Limits{}
+		return reaper.Limits{}
 	}
 
-	return idler.Limits{Idle: c.Limits.IdleTimeout, Header: c.Limits.HeaderTimeout}
+	return reaper.Limits{IdleTimeout: c.Limits.IdleTimeout, HeaderTimeout: c.Limits.HeaderTimeout}
 }
 
 // serve counts a call as running while it is handled, so that a stop waits for it.
 func (g *Gatekeeper) serve(w http.ResponseWriter, r *http.Request) {
-	g.idler.Begun(r.Context())
+	g.reaper.RecordHeaders(r.Context())
 
 	if p, ok := g.drainer.Enter(time.Now()); !ok {
 		w.Header().Set("Connection", "close")
--- a/internal/gossiper/assign.go
+++ b/internal/gossiper/assign.go
@@ -7,29 +7,35 @@
 	"github.com/auburntray/auburntray/internal/hasher"
 )
 
-// homesKept is how many routers of a key are returned: its home and those that
-// come after it.
-const homesKept = 3
+// maxHomes is the number of routers returned for a key: its home and the next ones in
+// rank, which succeed it.
+const maxHomes = 3
 
-// Key is something that needs a home, among the routers of some data centres.
+// Key identifies something that has a home (home node: the one router responsible for
+// it), for example a cell.
 type Key struct {
-	Key     uint64
+	Key uint64
+	// Centres are the data centres whose routers are preferred.
 	Centres []string
 }
 
-// Assign returns the routers for each key, its home first, by rendezvous among
-// the live routers of its data centres, or among all when none lives there.
+// Assign returns the routers for each key in the order of their rank, the home first. It
+// uses rendezvous hashing among the live routers of the key's data centres, or among all
+// live routers if those have none.
 //
-// A router that is first for several keys keeps the one for which its score is
-// highest; the others go, in the order of the keys, to the next of theirs that is
-// no home yet. Hot cells that meet on one router by chance would otherwise take it
-// over its control budget while hundreds have none. Whoever has the same routers
-// and keys comes to the same homes. A router that joins or leaves changes the
-// homes of the keys that it is among the first for, and of few others.
+// A router that ranks first for several keys remains the home of the key for which its
+// score is highest. Each of the other keys, in ascending order, is assigned to the next
+// router in its rank that is not a home yet. Otherwise several busy cells could have the
+// same home by chance and exceed its budget of control traffic, while hundreds of routers
+// are home to none.
+//
+// The result depends only on the routers and the keys, so that all routers with the same
+// view agree. A router that joins or leaves changes the homes of the keys for which it
+// ranks among the first, and of few others.
 func Assign(live []Member, keys []Key) map[uint64][]Member {
 	keys = slices.SortedFunc(slices.Values(keys), func(a, b Key) int { return cmp.Compare(a.Key, b.Key) })
 	o := make(map[uint64][]Member, len(keys))
-	// h holds, for each router that is a home, the key that it keeps.
+	// h maps each router that is a home to its key.
 	h := make(map[uint64]uint64, len(keys))
 
 	for _, k := range keys {
@@ -40,7 +46,7 @@
 			continue
 		}
 
-		if b, ok := h[l[0].ID]; !ok || before(k.Key, b, l[0].ID) {
+		if b, ok := h[l[0].ID]; !ok || outranks(k.Key, b, l[0].ID) {
 			h[l[0].ID] = k.Key
 		}
 	}
@@ -51,7 +57,7 @@
 			continue
 		}
 
-		l = standBack(l, h)
+		l = preferUnassigned(l, h)
 		o[k.Key] = l
 
 		if _, ok := h[l[0].ID]; !ok {
@@ -62,11 +68,11 @@
 	return o
 }
 
-// standBack returns a key's routers with the first of them that is no home yet at
-// the front; when all are, they stay as they are.
-func standBack(l []Member, keeps map[uint64]uint64) []Member {
+// preferUnassigned returns the routers with the first one that is not a home yet moved to
+// the front, or unchanged if all are homes.
+func preferUnassigned(l []Member, homes map[uint64]uint64) []Member {
 	for i, m := range l {
-		if _, ok := keeps[m.ID]; !ok {
+		if _, ok := homes[m.ID]; !ok {
 			return append(append([]Member{m}, l[:i]...), l[i+1:]...)
 		}
 	}
@@ -74,26 +80,28 @@
 	return l
 }
 
-// before says that a router has a higher score for key a than for key b.
-func before(a, b, router uint64) bool {
+// outranks reports whether a router has a higher score for key a than for key b. The
+// lower key wins a tie.
+func outranks(a, b, router uint64) bool {
 	x, y := hasher.Score(a, router, 1), hasher.Score(b, router, 1)
 
 	return x > y || (x == y && a < b)
 }
 
-// rank returns the first routers for one key.
+// rank returns the routers with the highest scores for a key, from its data centres if
+// these have any.
 func rank(live []Member, k Key) []Member {
-	o := first(live, k.Key, func(m Member) bool { return slices.Contains(k.Centres, m.DataCentre) })
+	o := topRanked(live, k.Key, func(m Member) bool { return slices.Contains(k.Centres, m.DataCentre) })
 	if len(o) > 0 {
 		return o
 	}
 
-	return first(live, k.Key, func(Member) bool { return true })
+	return topRanked(live, k.Key, func(Member) bool { return true })
 }
 
-// first returns the routers with the highest scores for a key among those that
-// a function selects, the highest first.
-func first(l []Member, key uint64, selects func(Member) bool) []Member {
+// topRanked returns up to maxHomes of the selected routers, those with the highest scores
+// for a key, in descending order.
+func topRanked(l []Member, key uint64, selects func(Member) bool) []Member {
 	var (
 		o []Member
 		s []float64
@@ -111,13 +119,13 @@
 			i++
 		}
 
-		if i < homesKept {
+		if i < maxHomes {
 			o = slices.Insert(o, i, m)
 			s = slices.Insert(s, i, x)
 		}
 
-		o = o[:min(len(o), homesKept)]
-		s = s[:min(len(s), homesKept)]
+		o = o[:min(len(o), maxHomes)]
+		s = s[:min(len(s), maxHomes)]
 	}
 
 	return o
--- a/internal/gossiper/gossip.go
+++ b/internal/gossiper/gossip.go
@@ -8,15 +8,16 @@
 	"github.com/auburntray/auburntray/internal/wire"
 )
 
-// Message is gossip with the address that it goes to.
+// Message is gossip with the address of its recipient.
 type Message struct {
 	To     netip.AddrPort
 	Gossip wire.Gossip
 }
 
-// partners chooses whom to send to: one of the own data centre and the others
-// from everywhere, and now and then one that seems dead, so that two sides of
-// a cut find each other again.
+// partners selects the recipients of a round at random: one live router of this data
+// centre, and others from all data centres up to Fanout. Every second round, and when no
+// router is live, it adds one that is considered dead, so that the two sides of a network
+// partition find each other again.
 func (g *Gossiper) partners(now time.Time) []*entry {
 	var near, all, dead []*entry
 
@@ -36,18 +37,18 @@
 
 	var o []*entry
 
-	o = g.choose(o, near, 1)
-	o = g.choose(o, all, g.settings.Fanout)
+	o = g.sample(o, near, 1)
+	o = g.sample(o, all, g.settings.Fanout)
 
 	if g.ticks%2 == 0 || len(o) == 0 {
-		o = g.choose(o, dead, len(o)+1)
+		o = g.sample(o, dead, len(o)+1)
 	}
 
 	return o
 }
 
-// choose adds random ones of l to o until it has n.
-func (g *Gossiper) choose(o, l []*entry, n int) []*entry {
+// sample appends random entries of l that are not in o, until o has n entries.
+func (g *Gossiper) sample(o, l []*entry, n int) []*entry {
 	for _, i := range g.random.Perm(len(l)) {
 		if len(o) >= n {
 			break
@@ -66,9 +67,10 @@
 	return o
 }
 
-func (g *Gossiper) gossip(revision uint64, to Member) wire.Gossip {
+// newGossip returns the message to send to a router in one round.
+func (g *Gossiper) newGossip(revision uint64, to Member) wire.Gossip {
 	w := wire.Gossip{Revision: revision, Members: []wire.Member{g.self.Introduction()}}
-	w.Beats = append(w.Beats, g.stamp(g.self))
+	w.Beats = append(w.Beats, g.beatOf(g.self))
 
 	var near, far []*entry
 
@@ -84,8 +86,8 @@
 
 	w.Members = append(w.Members, g.introductions(to)...)
 
-	for _, e := range append(leastSent(near, g.settings.Near), leastSent(far, g.settings.Far)...) {
-		w.Beats = append(w.Beats, g.stamp(e))
+	for _, e := range append(leastSent(near, g.settings.NearBeats), leastSent(far, g.settings.FarBeats)...) {
+		w.Beats = append(w.Beats, g.beatOf(e))
 	}
 
 	for id := range g.unknown {
@@ -98,33 +100,36 @@
 }
 
 const (
-	// introduceTimes is in how many messages a router introduces one that it has
-	// learned of. Each of those who hear of it does the same, so that a few are enough
-	// for hundreds.
-	introduceTimes = 4
-	// introduceUntil is the beat from which a router is no news any more. With one a
-	// second all know of it in half of that; without this each newcomer would introduce
-	// to all others those that they have long known.
-	introduceUntil = 20
-	// introduceNear and introduceFar bound the introductions of a message, at some 60
-	// bytes: of the receiver's data centre, whose routers read for each other, and of
-	// others.
-	introduceNear = 16
-	introduceFar  = 4
+	// maxIntroductions is the number of messages in which a router introduces another one,
+	// counted separately for receivers inside and outside the data centre of the one
+	// introduced. Each receiver introduces it further, so that a few are enough for
+	// hundreds of routers.
+	maxIntroductions = 4
+	// introduceMaxBeats is the beat count from which a router is not introduced any more.
+	// At one beat a second, all routers know it after half that time. Without the limit,
+	// each new router would introduce to the others routers that they know already.
+	introduceMaxBeats = 20
+	// maxNearMembers and maxFarMembers bound the introductions in a message, of about 60
+	// bytes each, for routers inside and outside the receiver's data centre. The routers
+	// of a data centre need to know each other soon, since they read streams for each
+	// other.
+	maxNearMembers = 16
+	maxFarMembers  = 4
 )
 
-// introductions returns what introduces those routers to another that were introduced
-// the least. A beat says only an ID; whoever does not know it has to ask, and when all
-// start at once it asks those who do not know it either.
+// introductions returns the routers to introduce to another one, those introduced least
+// often first. A beat contains only an ID. A receiver that does not know the ID has to
+// request the rest, and when all routers start at once, the routers that it requests it
+// from do not know it either.
 func (g *Gossiper) introductions(to Member) []wire.Member {
 	var near, far []*entry
 
 	for _, e := range g.sorted() {
 		switch {
-		case e.ID == to.ID || e == g.self || e.leaving || e.count >= introduceUntil:
-		case e.DataCentre == to.DataCentre && e.introducedNear < introduceTimes:
+		case e.ID == to.ID || e == g.self || e.leaving || e.count >= introduceMaxBeats:
+		case e.DataCentre == to.DataCentre && e.introducedNear < maxIntroductions:
 			near = append(near, e)
-		case e.DataCentre != to.DataCentre && e.introducedFar < introduceTimes:
+		case e.DataCentre != to.DataCentre && e.introducedFar < maxIntroductions:
 			far = append(far, e)
 		}
 	}
@@ -134,12 +139,12 @@
 
 	var o []wire.Member
 
-	for _, e := range near[:min(len(near), introduceNear)] {
+	for _, e := range near[:min(len(near), maxNearMembers)] {
 		e.introducedNear++
 		o = append(o, e.Introduction())
 	}
 
-	for _, e := range far[:min(len(far), introduceFar)] {
+	for _, e := range far[:min(len(far), maxFarMembers)] {
 		e.introducedFar++
 		o = append(o, e.Introduction())
 	}
@@ -147,20 +152,21 @@
 	return o
 }
 
-func (g *Gossiper) stamp(e *entry) wire.Beat {
+// beatOf returns a router's beat and counts that it is sent.
+func (g *Gossiper) beatOf(e *entry) wire.Beat {
 	e.sent++
 
 	return wire.Beat{ID: e.ID, Count: e.count, Leaving: e.leaving}
 }
 
-// leastSent returns the n entries that were passed on least often.
+// leastSent returns up to n entries, those whose beats were sent least often.
 func leastSent(l []*entry, n int) []*entry {
 	sort.SliceStable(l, func(a, b int) bool { return l[a].sent < l[b].sent })
 
 	return l[:min(n, len(l))]
 }
 
-// Introduction returns what introduces the router to others.
+// Introduction returns the message with which routers introduce this member to others.
 func (m Member) Introduction() wire.Member {
 	return wire.Member{ID: m.ID, Address: m.Address.String(), Region: m.Region, DataCentre: m.DataCentre}
 }
--- a/internal/gossiper/gossiper.go
+++ b/internal/gossiper/gossiper.go
@@ -1,5 +1,5 @@
-// Package gossiper decides which routers are live, from signs of life that they
-// pass on to each other.
+// Package gossiper determines which routers are live from the heartbeats that they relay
+// to each other.
 package gossiper
 
 import (
@@ -11,12 +11,12 @@
 	"github.com/auburntray/auburntray/internal/wire"
 )
 
-// forgetAfter is how long a dead router is remembered, so that late gossip
-// can't bring it back.
-const forgetAfter = 10 * time.Minute
+// deadRetention is how long a dead router remains known, so that delayed gossip does not
+// make it count as live again.
+const deadRetention = 10 * time.Minute
 
-// Member is a router as the others know it. Its ID is higher than that of any
-// earlier process at its address.
+// Member describes a router to the others. Its ID is higher than that of any earlier
+// process at its address, see joiner.NewID.
 type Member struct {
 	ID         uint64
 	Address    netip.AddrPort
@@ -24,21 +24,23 @@
 	DataCentre string
 }
 
+// entry is what a Gossiper knows about one router.
 type entry struct {
 	Member
 
+	// count is that of the latest beat, which arrived at lastBeat.
 	count     uint32
 	leaving   bool
-	fresh     time.Time
+	lastBeat  time.Time
 	suspected time.Time
-	sent      int
-	// introduced is in how many messages it was introduced to its own data centre and
-	// to others.
+	// sent is how often its beat was sent.
+	sent int
+	// introducedNear and introducedFar are the numbers of messages that introduced it to
+	// routers of its own data centre and of others.
 	introducedNear, introducedFar int
 }
 
-// Gossiper holds what one router knows of the others. It is not safe for
-// concurrent use.
+// Gossiper holds one router's knowledge of the others. It is not safe for concurrent use.
 type Gossiper struct {
 	settings Settings
 	random   *rand.Rand
@@ -50,7 +52,7 @@
 	view     view
 }
 
-// New returns a Gossiper that knows only its own router.
+// New returns a Gossiper that knows only self, the router that it runs on.
 func New(s Settings, r *rand.Rand, self Member) *Gossiper {
 	e := &entry{Member: self, count: 1}
 
@@ -63,8 +65,9 @@
 	}
 }
 
-// Introduce makes a router known. It counts as live from now until its timeout
-// unless it is known already, or a newer process has its address.
+// Introduce adds a router, which counts as live from now until its timeout. It does
+// nothing if the router is known already, or if its address is that of this router or of
+// a live router with a higher ID.
 func (g *Gossiper) Introduce(now time.Time, m Member) {
 	if _, ok := g.entries[m.ID]; ok {
 		return
@@ -75,9 +78,9 @@
 			continue
 		}
 
-		// A process that starts while its clock is behind has a lower ID than the
-		// one before it at its address. Waiting until that one counts as dead keeps
-		// late gossip about old processes out, and lets the new one in.
+		// A process that starts while its clock is behind has a lower ID than its
+		// predecessor at the same address. It is accepted once the predecessor counts as
+		// dead, and delayed gossip about old processes is ignored until then.
 		if e.ID > m.ID && g.live(now, e) || e == g.self {
 			return
 		}
@@ -86,45 +89,47 @@
 	}
 
 	delete(g.unknown, m.ID)
-	g.look()
-	g.entries[m.ID] = &entry{Member: m, fresh: now}
+	g.invalidateView()
+	g.entries[m.ID] = &entry{Member: m, lastBeat: now}
 }
 
-// Leave tells the others from the next tick on that this router is stopping.
+// Leave marks this router as shutting down. The gossip of the next ticks notifies the
+// others.
 func (g *Gossiper) Leave() {
 	g.self.leaving = true
-	g.look()
+	g.invalidateView()
 }
 
-// Suspect passes a router over for a while because a call to it failed. A call
-// finds a dead router within milliseconds, where its missing beats take
-// seconds.
+// Suspect excludes a router from the live ones for SuspectFor or until its next beat,
+// because a call to it failed. A failed call reveals a dead router within milliseconds,
+// missing beats only within seconds. Suspecting this router itself has no effect.
 func (g *Gossiper) Suspect(now time.Time, id uint64) {
 	if e, ok := g.entries[id]; ok && e != g.self {
 		e.suspected = now
-		g.look()
+		g.invalidateView()
 	}
 }
 
-// Tick counts this router's beat up and returns the gossip to send.
+// Tick increments this router's beat count and returns the gossip to send. The revision
+// is that of this router's configuration.
 func (g *Gossiper) Tick(now time.Time, revision uint64) []Message {
 	g.self.count++
-	g.self.fresh = now
+	g.self.lastBeat = now
 	g.ticks++
-	g.forget(now)
+	g.prune(now)
 
 	var o []Message
 
 	for _, e := range g.partners(now) {
-		o = append(o, Message{To: e.Address, Gossip: g.gossip(revision, e.Member)})
+		o = append(o, Message{To: e.Address, Gossip: g.newGossip(revision, e.Member)})
 	}
 
 	return o
 }
 
-// Welcome returns what introduces this router to a newcomer, and the routers of its
-// data centre and a few others.
-func (g *Gossiper) Welcome(id uint64) []wire.Member {
+// IntroductionsFor returns the introductions to send to a new router: this router, and if
+// the new one is known, routers of its data centre and a few others.
+func (g *Gossiper) IntroductionsFor(id uint64) []wire.Member {
 	o := []wire.Member{g.self.Introduction()}
 	if e, ok := g.entries[id]; ok {
 		o = append(o, g.introductions(e.Member)...)
@@ -133,7 +138,8 @@
 	return o
 }
 
-// Receive takes gossip and returns the routers to introduce to the sender.
+// Receive applies gossip and returns the routers that the sender asked to have introduced.
+// Members with an invalid address are ignored.
 func (g *Gossiper) Receive(now time.Time, w wire.Gossip) []wire.Member {
 	for _, m := range w.Members {
 		a, err := netip.ParseAddrPort(m.Address)
@@ -143,7 +149,7 @@
 	}
 
 	for _, b := range w.Beats {
-		g.beat(now, b)
+		g.applyBeat(now, b)
 	}
 
 	var o []wire.Member
@@ -157,15 +163,15 @@
 	return o
 }
 
-// Live returns the routers that may be given work, in the order of their IDs.
-// The own router is among them until it leaves. Callers must not change the
-// result. It may lag by viewFor, but not behind this router's own suspicions.
+// Live returns the routers that are live, neither leaving nor suspected, in the order of
+// their IDs. This router is among them until it leaves. Callers must not change the
+// result. It may be up to viewTTL old, but reflects calls of Suspect immediately.
 func (g *Gossiper) Live(now time.Time) []Member {
 	return g.viewAt(now).live
 }
 
-// list works out which routers are live.
-func (g *Gossiper) list(now time.Time) []Member {
+// listLive computes the result of Live.
+func (g *Gossiper) listLive(now time.Time) []Member {
 	o := make([]Member, 0, len(g.entries))
 
 	for _, e := range g.entries {
@@ -179,7 +185,7 @@
 	return o
 }
 
-// Address returns the address of a router, and false when it is not known.
+// Address returns the address of a router, or false if it is not known.
 func (g *Gossiper) Address(id uint64) (netip.AddrPort, bool) {
 	e, ok := g.entries[id]
 	if !ok {
@@ -189,16 +195,16 @@
 	return e.Address, true
 }
 
-// Homes returns the router that is responsible for a key, and those that will be
-// after it, up to a number, as Assign does. It returns none only when this router
-// leaves and knows no other.
+// Homes returns the home of a key and the routers that succeed it, up to the given
+// number, as assigned by Assign. The result is empty only if this router is leaving and
+// no other is live.
 func (g *Gossiper) Homes(now time.Time, key uint64, centres []string, number int) []Member {
 	o := g.viewAt(now).home(Key{Key: key, Centres: centres})
 
 	return o[:min(len(o), number)]
 }
 
-// SetKeys sets the keys whose homes make way for each other, see Assign.
+// SetKeys sets the keys whose homes are spread over different routers, see Assign.
 func (g *Gossiper) SetKeys(k []Key) {
 	g.keys = k
 	g.view = view{}
@@ -210,15 +216,15 @@
 	}
 
 	if e.DataCentre == g.self.DataCentre {
-		return now.Sub(e.fresh) < g.settings.NearTimeout
+		return now.Sub(e.lastBeat) < g.settings.NearTimeout
 	}
 
-	return now.Sub(e.fresh) < g.settings.FarTimeout
+	return now.Sub(e.lastBeat) < g.settings.FarTimeout
 }
 
-// beat takes a sign of life. Only a higher count is one: gossip that went
-// round for long carries counts already seen.
-func (g *Gossiper) beat(now time.Time, b wire.Beat) {
+// applyBeat records a router's beat. Only a higher count proves that the router is alive,
+// since gossip that was relayed for long contains counts that were received before.
+func (g *Gossiper) applyBeat(now time.Time, b wire.Beat) {
 	e, ok := g.entries[b.ID]
 	if !ok {
 		g.unknown[b.ID] = true
@@ -231,26 +237,27 @@
 	}
 
 	e.count = b.Count
-	e.fresh = now
+	e.lastBeat = now
 
 	if !e.suspected.IsZero() || b.Leaving {
-		g.look()
+		g.invalidateView()
 	}
 
 	e.suspected = time.Time{}
-	// Leaving is final for a process: its successor has another ID.
+	// Leaving is final for a process; its successor at the address has another ID.
 	e.leaving = e.leaving || b.Leaving
 }
 
-// forget drops routers that have been dead for long.
-func (g *Gossiper) forget(now time.Time) {
+// prune deletes routers without a new beat for more than deadRetention.
+func (g *Gossiper) prune(now time.Time) {
 	for id, e := range g.entries {
-		if e != g.self && now.Sub(e.fresh) > forgetAfter {
+		if e != g.self && now.Sub(e.lastBeat) > deadRetention {
 			delete(g.entries, id)
 		}
 	}
 }
 
+// sorted returns all entries in the order of their IDs.
 func (g *Gossiper) sorted() []*entry {
 	o := make([]*entry, 0, len(g.entries))
 	for _, e := range g.entries {
--- a/internal/gossiper/gossiper_test.go
+++ b/internal/gossiper/gossiper_test.go
@@ -24,15 +24,15 @@
 	}
 }
 
-// fleet passes gossip on between Gossipers, but not across a cut and not to the
-// dead.
+// fleet delivers gossip between Gossipers, except to dead ones and across a network
+// partition between the data centre partitioned and the others.
 type fleet struct {
-	members map[netip.AddrPort]*gossiper.Gossiper
-	order   []gossiper.Member
-	now     time.Time
-	dead    map[uint64]bool
-	cut     string
-	bytes   int
+	members     map[netip.AddrPort]*gossiper.Gossiper
+	order       []gossiper.Member
+	now         time.Time
+	dead        map[uint64]bool
+	partitioned string
+	bytes       int
 }
 
 func newFleet(n, centres int) *fleet {
@@ -40,7 +40,7 @@
 
 	for k := range n {
 		m := member(uint64(k+1), "dc-"+strconv.Itoa(k%centres))
-		m.ID |= 1 << 62 // as long as real ones
+		m.ID |= 1 << 62 // Encoded as long as real IDs.
 		f.order = append(f.order, m)
 		f.members[m.Address] = gossiper.New(gossiper.DefaultSettings(), rand.New(rand.NewPCG(uint64(k), 1)), m)
 	}
@@ -71,7 +71,7 @@
 
 func (f *fleet) deliver(from gossiper.Member, x gossiper.Message) {
 	for _, o := range f.order {
-		if o.Address == x.To && !f.dead[o.ID] && (f.cut == "" || (o.DataCentre == f.cut) == (from.DataCentre == f.cut)) {
+		if o.Address == x.To && !f.dead[o.ID] && (f.partitioned == "" || (o.DataCentre == f.partitioned) == (from.DataCentre == f.partitioned)) {
 			l := f.members[x.To].Receive(f.now, x.Gossip)
 			f.members[from.Address].Receive(f.now, wire.Gossip{Members: l})
 		}
@@ -80,9 +80,9 @@
 
 func (f *fleet) live(n int) int { return len(f.members[f.order[n].Address].Live(f.now)) }
 
-// A router is killed. The others must find out within seconds, or each goes on
-// asking it for places.
-func TestAKilledRouterIsFound(t *testing.T) {
+// Guards against routers that keep requesting slots from one that was killed: the others must consider it dead
+// within seconds.
+func TestKilledRouterIsDetected(t *testing.T) {
 	i := is.New(t)
 	f := newFleet(12, 2)
 
@@ -91,7 +91,7 @@
 	}
 
 	i.Equal(f.live(0), 12)
-	f.dead[f.order[2].ID] = true // in the data centre of router 0
+	f.dead[f.order[2].ID] = true // In the data centre of router 0.
 
 	for range 12 {
 		f.tick()
@@ -105,15 +105,15 @@
 
 	for n, m := range f.order {
 		if !f.dead[m.ID] {
-			i.Equal(f.live(n), 11) // also in the other data centre
+			i.Equal(f.live(n), 11) // Also in the other data centre.
 		}
 	}
 }
 
-// All routers start at once and know three seeds. For a minute those of a data centre
-// without a seed did not know each other, and a third of them each took itself for the
-// one that reads for all of it. Whoever is new is introduced along with the beats.
-func TestRoutersThatStartAtOnceFindEachOther(t *testing.T) {
+// Guards against routers that do not know each other when all start at once with three seeds. Without
+// introductions along with the beats, those of a data centre without a seed remained unknown to each other for a
+// minute, and a third of them each acted as the one that reads streams for its data centre.
+func TestRoutersThatStartTogetherDiscoverEachOther(t *testing.T) {
 	i := is.New(t)
 	f := newFleet(83, 5)
 	seeds := f.order[:3]
@@ -125,7 +125,7 @@
 	for _, m := range f.order {
 		for _, s := range seeds {
 			f.members[s.Address].Introduce(f.now, m)
-			f.members[m.Address].Receive(f.now, wire.Gossip{Members: f.members[s.Address].Welcome(m.ID)})
+			f.members[m.Address].Receive(f.now, wire.Gossip{Members: f.members[s.Address].IntroductionsFor(m.ID)})
 		}
 	}
 
@@ -147,14 +147,14 @@
 	}
 }
 
-// A data centre is cut off. Each side goes on with its own routers, and after
-// the cut both find each other again though each had given the other up.
-func TestACutHeals(t *testing.T) {
+// During a network partition, each side must continue with its own routers. After it, the sides must discover
+// each other again though each considered the other dead.
+func TestNetworkPartitionHeals(t *testing.T) {
 	i := is.New(t)
 	f := newFleet(8, 2)
 	f.tick()
 
-	f.cut = "dc-1"
+	f.partitioned = "dc-1"
 
 	for range 60 {
 		f.tick()
@@ -163,7 +163,7 @@
 	i.Equal(f.live(0), 4)
 	i.Equal(f.live(1), 4)
 
-	f.cut = ""
+	f.partitioned = ""
 
 	for range 20 {
 		f.tick()
@@ -185,19 +185,19 @@
 	}{
 		"introduced": {func(*gossiper.Gossiper) {}, 0, 2},
 		"silent":     {func(*gossiper.Gossiper) {}, 7 * time.Second, 1},
-		"a new beat": {func(g *gossiper.Gossiper) { g.Receive(start.Add(5*time.Second), beat(9, false)) }, 7 * time.Second, 2},
-		"an old beat is no sign": {func(g *gossiper.Gossiper) {
+		"new beat":   {func(g *gossiper.Gossiper) { g.Receive(start.Add(5*time.Second), beat(9, false)) }, 7 * time.Second, 2},
+		"repeated beat": {func(g *gossiper.Gossiper) {
 			g.Receive(start, beat(9, false))
 			g.Receive(start.Add(5*time.Second), beat(9, false))
 		}, 7 * time.Second, 1},
-		"leaving":                    {func(g *gossiper.Gossiper) { g.Receive(start, beat(9, true)) }, 0, 1},
-		"leaving is final":           {func(g *gossiper.Gossiper) { g.Receive(start, beat(9, true)); g.Receive(start, beat(10, false)) }, 0, 1},
-		"suspected":                  {func(g *gossiper.Gossiper) { g.Suspect(start, 2) }, time.Second, 1},
-		"suspected for a while":      {func(g *gossiper.Gossiper) { g.Suspect(start, 2) }, 4 * time.Second, 2},
-		"a new beat clears it":       {func(g *gossiper.Gossiper) { g.Suspect(start, 2); g.Receive(start, beat(9, false)) }, time.Second, 2},
-		"nobody suspects itself":     {func(g *gossiper.Gossiper) { g.Suspect(start, 1) }, time.Second, 2},
-		"a successor at its address": {func(g *gossiper.Gossiper) { m := member(2, "d"); m.ID = 3; g.Introduce(start, m) }, 0, 2},
-		"not its predecessor": {func(g *gossiper.Gossiper) {
+		"leaving":                   {func(g *gossiper.Gossiper) { g.Receive(start, beat(9, true)) }, 0, 1},
+		"leaving is final":          {func(g *gossiper.Gossiper) { g.Receive(start, beat(9, true)); g.Receive(start, beat(10, false)) }, 0, 1},
+		"suspected":                 {func(g *gossiper.Gossiper) { g.Suspect(start, 2) }, time.Second, 1},
+		"suspicion expired":         {func(g *gossiper.Gossiper) { g.Suspect(start, 2) }, 4 * time.Second, 2},
+		"new beat clears suspicion": {func(g *gossiper.Gossiper) { g.Suspect(start, 2); g.Receive(start, beat(9, false)) }, time.Second, 2},
+		"self is not suspected":     {func(g *gossiper.Gossiper) { g.Suspect(start, 1) }, time.Second, 2},
+		"successor at its address":  {func(g *gossiper.Gossiper) { m := member(2, "d"); m.ID = 3; g.Introduce(start, m) }, 0, 2},
+		"predecessor is ignored": {func(g *gossiper.Gossiper) {
 			m := member(2, "d")
 			m.ID = 0
 			g.Introduce(start, m)
@@ -213,8 +213,8 @@
 	}
 }
 
-// Two routers that know the same others agree on the home of every cell, and
-// the successor of a home is the one that takes over.
+// Two routers with the same view must agree on the home of every cell, and the successor of a suspected home must
+// become the home.
 func TestHomesAgree(t *testing.T) {
 	i := is.New(t)
 	f := newFleet(10, 2)
@@ -237,11 +237,11 @@
 		}
 	}
 
-	i.Equal(len(f.members[f.order[0].Address].Homes(f.now, 1, []string{"gone"}, 1)), 1) // any, when none is there
+	i.Equal(len(f.members[f.order[0].Address].Homes(f.now, 1, []string{"gone"}, 1)), 1) // Any router if the data centre has none.
 }
 
-// Hot cells meet on one router by chance, and it passes its control budget while
-// hundreds are home to nothing.
+// Guards against several busy cells that have the same home by chance, which exceeds the router's budget of
+// control traffic while hundreds of routers are home to none.
 func TestAssignSpreadsHomes(t *testing.T) {
 	i := is.New(t)
 
@@ -271,11 +271,11 @@
 		i.Equal(x, 1)
 	}
 
-	// Whoever asks in another order comes to the same.
+	// The order of the keys does not matter.
 	slices.Reverse(keys)
 	i.Equal(gossiper.Assign(live, keys), o)
 
-	// A router that is lost moves its own key and at most a few that stood back.
+	// Losing a router changes the home of its own key and of at most two that were assigned further down their rank.
 	for l := range live {
 		moved := 0
 
@@ -291,7 +291,7 @@
 	i.Equal(len(gossiper.Assign(nil, keys)[7919]), 0)
 }
 
-// BenchmarkTick reports what gossip costs a node at the design size.
+// BenchmarkTick reports the bytes and processor time of gossip per router at the design size.
 func BenchmarkTick(b *testing.B) {
 	f := newFleet(380, 8)
 	n := 0
@@ -306,8 +306,8 @@
 	b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(n)/380, "µs/s/node")
 }
 
-// BenchmarkHome finds the homes of cells at the design size: again within a
-// view, and anew with each view.
+// BenchmarkHome looks up the homes of cells at the design size, repeatedly within one view ("again") and with a
+// new view each time ("anew").
 func BenchmarkHome(b *testing.B) {
 	region := []string{"dc-0", "dc-1", "dc-2", "dc-3"}
 
@@ -317,7 +317,7 @@
 			g := f.members[f.order[0].Address]
 
 			for b.Loop() {
-				// To and fro, so that nobody gets old.
+				// Moves back and forth, so that no router times out.
 				f.now = f.now.Add(step)
 				step = -step
 
--- a/internal/gossiper/link.go
+++ b/internal/gossiper/link.go
@@ -1,32 +1,32 @@
 package gossiper
 
-// LinkClass tells roughly what a member's link carries; higher ones carry more. Zero stands for little, or for a
-// link of which nothing is known.
+// LinkClass is the order of magnitude of the bandwidth of a member's link. Zero stands for less than 100 Mbit/s or
+// an unknown bandwidth.
 type LinkClass uint8
 
 const (
-	// LinkClassBits is how many bits a LinkClass has, the lowest of a member's ID. Members of an earlier release
-	// have any class: it is a preference, and nothing else hangs on it.
+	// LinkClassBits is the number of bits of a LinkClass, the lowest bits of a member's ID. The IDs of earlier
+	// releases have random bits there. This is harmless, since the class only expresses a preference.
 	LinkClassBits = 2
 	linkClasses   = 1 << LinkClassBits
-	// firstClass is the rate from which a link is of the first class, in bytes a second: 100 Mbit/s. Each
-	// further class carries ten times as much.
-	firstClass = 12.5e6
-	classTimes = 10
+	// firstClassRate is the lowest bandwidth of class 1 in bytes a second: 100 Mbit/s. Each further class starts at
+	// classFactor times the bandwidth.
+	firstClassRate = 12.5e6
+	classFactor    = 10
 )
 
-// ClassOf returns the class of a link that carries so many bytes a second.
+// ClassOf returns the class of a link with the given bandwidth in bytes a second.
 func ClassOf(rate float64) LinkClass {
 	var c LinkClass
 
-	for r := firstClass; rate >= r && c < linkClasses-1; r *= classTimes {
+	for r := firstClassRate; rate >= r && c < linkClasses-1; r *= classFactor {
 		c++
 	}
 
 	return c
 }
 
-// Link returns the class of the member's link.
+// Link returns the class of the member's link, which its ID contains.
 func (m Member) Link() LinkClass {
 	return LinkClass(m.ID % linkClasses)
 }
--- a/internal/gossiper/settings.go
+++ b/internal/gossiper/settings.go
@@ -4,24 +4,24 @@
 	"time"
 )
 
-// Settings bounds the gossip.
+// Settings configures the gossip. Its fields must not be zero.
 type Settings struct {
-	// Fanout is to how many routers a tick sends.
+	// Fanout is the number of live routers that a tick sends to.
 	Fanout int
-	// Near and Far are how many beats of the own data centre and of others a
-	// message carries.
-	Near, Far int
-	// NearTimeout and FarTimeout are how long after its last new beat a router
-	// of the own data centre, or of another, counts as live.
+	// NearBeats and FarBeats are the numbers of beats of this router's data centre and of
+	// others in a message.
+	NearBeats, FarBeats int
+	// NearTimeout and FarTimeout are the times for which a router of this router's data
+	// centre, or of another, counts as live after its last new beat.
 	NearTimeout, FarTimeout time.Duration
-	// SuspectFor is how long a router that could not be reached is passed over.
+	// SuspectFor is the time for which a router that could not be reached is excluded.
 	SuspectFor time.Duration
 }
 
-// DefaultSettings returns the settings that routers use with a tick a second.
+// DefaultSettings returns the settings that routers use, with one tick a second.
 func DefaultSettings() Settings {
 	return Settings{
-		Fanout: 2, Near: 16, Far: 8,
+		Fanout: 2, NearBeats: 16, FarBeats: 8,
 		NearTimeout: 6 * time.Second,
 		FarTimeout:  20 * time.Second,
 		SuspectFor:  3 * time.Second,
--- a/internal/gossiper/view.go
+++ b/internal/gossiper/view.go
@@ -5,27 +5,28 @@
 	"time"
 )
 
-// viewFor is how long a view stands before the live routers are looked at again.
-// Each request asks for a few homes, and working them out each time would take a
-// twentieth of a core at the design size.
-const viewFor = 200 * time.Millisecond
+// viewTTL is how long a view is used before the live routers are determined again. Each
+// request needs a few homes, and computing them each time would use a twentieth of a core
+// at the design size.
+const viewTTL = 200 * time.Millisecond
 
-// view is what follows from the entries. The zero view stands for none.
+// view caches the results that follow from the entries. The zero view is empty.
 type view struct {
 	at   time.Time
 	live []Member
-	// homes are those of the keys that were set, and of others as they are
-	// asked for. They stand as long as the same routers live.
+	// homes are the routers of the keys passed to SetKeys, and of other keys since they
+	// were first requested. They are valid as long as the same routers are live.
 	homes map[uint64][]Member
 }
 
+// viewAt returns the view for a time, renewed if it is older than viewTTL or invalidated.
 func (g *Gossiper) viewAt(now time.Time) *view {
 	v := &g.view
-	if v.homes != nil && now.Sub(v.at) < viewFor && !now.Before(v.at) {
+	if v.homes != nil && now.Sub(v.at) < viewTTL && !now.Before(v.at) {
 		return v
 	}
 
-	l := g.list(now)
+	l := g.listLive(now)
 	if v.homes == nil || !slices.Equal(l, v.live) {
 		v.live = l
 		v.homes = Assign(l, g.keys)
@@ -36,13 +37,13 @@
 	return v
 }
 
-// look has the live routers looked at again at the next question.
-func (g *Gossiper) look() {
+// invalidateView makes the next use of the view determine the live routers again.
+func (g *Gossiper) invalidateView() {
 	g.view.at = time.Time{}
 }
 
-// home returns the routers for a key. Keys that were not set have homes of their
-// own, whatever others their routers have.
+// home returns the routers for a key, its home first. The home of a key that was not
+// passed to SetKeys is its highest-ranked router, even if that is home to other keys too.
 func (v *view) home(k Key) []Member {
 	if o, ok := v.homes[k.Key]; ok {
 		return o
--- a/internal/joiner/joiner.go
+++ b/internal/joiner/joiner.go
@@ -1,5 +1,5 @@
-// Package joiner keeps a router in touch with the others: it sends and takes
-// gossip and reads the platform's list.
+// Package joiner maintains a router's membership in the fleet: it exchanges gossip with
+// the other routers and reads the platform's list of instances.
 package joiner
 
 import (
@@ -20,38 +20,36 @@
 )
 
 const (
-	// tickEvery is the time between two rounds of gossip.
-	tickEvery = time.Second
-	// listEvery is the time between two reads of the platform's list. The read
-	// returns changes only, so it costs little when nothing changed.
-	listEvery   = time.Second
-	sendTimeout = 500 * time.Millisecond
-	roleRouter  = "router"
+	gossipInterval = time.Second
+	// listInterval is short because a read of the platform's list returns only changes.
+	listInterval = time.Second
+	sendTimeout  = 500 * time.Millisecond
+	roleRouter   = "router"
 )
 
-// ErrGossip marks gossip that can't be read.
-var ErrGossip = errors.New("the gossip is not valid")
+// ErrGossip marks errors in decoding a gossip message.
+var ErrGossip = errors.New("invalid gossip message")
 
 // messenger sends messages to peers.
 type messenger interface {
 	Send(c context.Context, a netip.AddrPort, k wire.Kind, m msgp.Marshaler) error
 }
 
-// lister reads the platform's list.
+// lister reads the changes in the platform's list of instances.
 type lister interface {
 	Instances(c context.Context, since uint64) (recorder.List, error)
 }
 
-// Joiner follows which routers are live. It is safe for concurrent use.
+// Joiner tracks which routers are live. It is safe for concurrent use.
 type Joiner struct {
 	messenger messenger
 	lister    lister
 	self      gossiper.Member
 	revision  func() uint64
-	// ahead is told of peers that hold a newer revision.
-	ahead func(a netip.AddrPort, revision uint64)
-	// seen is told of the platform's word on targets.
-	seen func(recorder.Instance)
+	// onNewerRevision is called for peers with a newer configuration revision.
+	onNewerRevision func(a netip.AddrPort, revision uint64)
+	// onTarget is called for changes of targets in the platform's list.
+	onTarget func(recorder.Instance)
 
 	mu       sync.Mutex
 	seeds    []netip.AddrPort
@@ -60,9 +58,9 @@
 	version  uint64
 }
 
-// NewID returns an ID for this process that is higher than that of any earlier one
-// at its address, as far as its clock goes, and that no two processes share. It tells the class of the process's
-// link, see gossiper.Member.Link.
+// NewID returns an ID for this process from the current time, random bits and the class of its link (see
+// gossiper.Member.Link). The ID is higher than that of any earlier process at the same address unless the clock was
+// set back, and two processes have the same ID only by an improbable collision of time and random bits.
 func NewID(k gossiper.LinkClass) uint64 {
 	var b [8]byte
 
@@ -75,31 +73,34 @@
 	return o>>gossiper.LinkClassBits<<gossiper.LinkClassBits | uint64(k)
 }
 
-// Hooks connect a Joiner with the rest of the router.
+// Hooks connects a Joiner with the rest of the router. All fields are required.
 type Hooks struct {
+	// Revision returns the revision of the configuration in force.
 	Revision func() uint64
-	Ahead    func(a netip.AddrPort, revision uint64)
-	Seen     func(recorder.Instance)
+	// OnNewerRevision is called in its own goroutine when a peer has a newer revision.
+	OnNewerRevision func(a netip.AddrPort, revision uint64)
+	// OnTargetChange is called for each change of a target in the platform's list.
+	OnTargetChange func(recorder.Instance)
 }
 
-// New returns a Joiner that knows its own router and the seeds' addresses.
+// New returns a Joiner that knows only its own router and the addresses of the seeds.
 func New(m messenger, l lister, g *gossiper.Gossiper, self gossiper.Member, seeds []netip.AddrPort, h Hooks) *Joiner {
 	return &Joiner{
 		messenger: m, lister: l, seeds: seeds, self: self, gossiper: g,
-		revision: h.Revision, ahead: h.Ahead, seen: h.Seen,
+		revision: h.Revision, onNewerRevision: h.OnNewerRevision, onTarget: h.OnTargetChange,
 		listed: make(map[netip.AddrPort]bool),
 	}
 }
 
-// Run gossips and reads the list until the context ends.
+// Run exchanges gossip and reads the platform's list until the context ends.
 func (j *Joiner) Run(c context.Context) {
-	j.list(c)
+	j.readList(c)
 	j.tick(c)
 
-	t := time.NewTicker(tickEvery)
+	t := time.NewTicker(gossipInterval)
 	defer t.Stop()
 
-	l := time.NewTicker(listEvery)
+	l := time.NewTicker(listInterval)
 	defer l.Stop()
 
 	for {
@@ -107,14 +108,15 @@
 		case <-t.C:
 			j.tick(c)
 		case <-l.C:
-			j.list(c)
+			j.readList(c)
 		case <-c.Done():
 			return
 		}
 	}
 }
 
-// Gossip answers a gossip message.
+// Gossip handles a gossip message from another router. It never returns a reply, and
+// fails with ErrGossip if the message is invalid.
 func (j *Joiner) Gossip(c context.Context, from uint64, body []byte) (msgp.Marshaler, error) {
 	var w wire.Gossip
 	if _, err := w.UnmarshalMsg(body); err != nil {
@@ -132,14 +134,14 @@
 	}
 
 	if w.Revision > j.revision() {
-		go j.ahead(a, w.Revision)
+		go j.onNewerRevision(a, w.Revision)
 	}
 
-	// A router that is new here is welcomed at once, so that two routers know each
-	// other after one message and not after a random one, and a newcomer knows those of
-	// its data centre.
+	// A router that was unknown receives the introductions immediately. The two routers then
+	// know each other after one message instead of at a random later round, and the new one
+	// learns the routers of its data centre.
 	if !known {
-		m = append(m, j.welcome(from)...)
+		m = append(m, j.introductionsFor(from)...)
 	}
 
 	if len(m) > 0 {
@@ -149,7 +151,8 @@
 	return nil, nil //nolint:nilnil // Gossip has no reply.
 }
 
-// SetKeys sets the keys whose homes make way for each other.
+// SetKeys sets the keys whose homes are spread over different routers, see
+// gossiper.Assign.
 func (j *Joiner) SetKeys(k []gossiper.Key) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -157,8 +160,8 @@
 	j.gossiper.SetKeys(k)
 }
 
-// Home returns the router that is responsible for a key among those of the
-// given data centres.
+// Home returns the home of a key (home node: the one router responsible for it) among the
+// routers of the given data centres. It returns false if no router is known to be live.
 func (j *Joiner) Home(key uint64, centres []string) (gossiper.Member, bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -171,8 +174,8 @@
 	return o[0], true
 }
 
-// Successor returns the router that would be responsible for a key if this one,
-// which is, were gone. There is none when this router is not responsible.
+// Successor returns the router that would become the home of a key without this one. It
+// returns false if this router is not the home or there is no other.
 func (j *Joiner) Successor(key uint64, centres []string) (gossiper.Member, bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -185,7 +188,7 @@
 	return o[1], true
 }
 
-// Live returns the routers that may be given work.
+// Live returns the routers that accept requests, see gossiper.Gossiper.Live.
 func (j *Joiner) Live() []gossiper.Member {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -193,7 +196,7 @@
 	return j.gossiper.Live(time.Now())
 }
 
-// Suspect passes a router over for a while because a call to it failed.
+// Suspect excludes a router temporarily because a call to it failed.
 func (j *Joiner) Suspect(id uint64) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -201,12 +204,12 @@
 	j.gossiper.Suspect(time.Now(), id)
 }
 
-// Self returns the own router.
+// Self returns this router.
 func (j *Joiner) Self() gossiper.Member {
 	return j.self
 }
 
-// Seeds returns the addresses of the settings at which instances may be found.
+// Seeds returns the configured addresses at which other instances may be found.
 func (j *Joiner) Seeds() []netip.AddrPort {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -214,7 +217,7 @@
 	return j.seeds
 }
 
-// SetSeeds replaces the addresses at which instances may be found.
+// SetSeeds replaces the addresses at which other instances may be found.
 func (j *Joiner) SetSeeds(l []netip.AddrPort) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -222,14 +225,14 @@
 	j.seeds = l
 }
 
-func (j *Joiner) welcome(id uint64) []wire.Member {
+func (j *Joiner) introductionsFor(id uint64) []wire.Member {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 
-	return j.gossiper.Welcome(id)
+	return j.gossiper.IntroductionsFor(id)
 }
 
-// Leave tells the others that this router is stopping.
+// Leave notifies other routers that this one is shutting down.
 func (j *Joiner) Leave(c context.Context) {
 	j.mu.Lock()
 	j.gossiper.Leave()
@@ -240,7 +243,7 @@
 func (j *Joiner) tick(c context.Context) {
 	j.mu.Lock()
 	m := j.gossiper.Tick(time.Now(), j.revision())
-	m = append(m, j.greetings()...)
+	m = append(m, j.introductions()...)
 	j.mu.Unlock()
 
 	for _, x := range m {
@@ -248,9 +251,9 @@
 	}
 }
 
-// greetings returns gossip for addresses of the settings and the list that no
-// known router has.
-func (j *Joiner) greetings() []gossiper.Message {
+// introductions returns messages that introduce this router to the addresses of the seeds
+// and of the platform's list at which no live router is known.
+func (j *Joiner) introductions() []gossiper.Message {
 	k := map[netip.AddrPort]bool{j.self.Address: true}
 	for _, m := range j.gossiper.Live(time.Now()) {
 		k[m.Address] = true
@@ -285,9 +288,9 @@
 	}
 }
 
-// list takes in what changed in the platform's list. While the platform can't
-// be reached, the last list stands.
-func (j *Joiner) list(c context.Context) {
+// readList applies the changes in the platform's list. While the platform is unreachable,
+// the last list remains in use.
+func (j *Joiner) readList(c context.Context) {
 	x, stop := context.WithTimeout(c, sendTimeout)
 	defer stop()
 
@@ -302,7 +305,7 @@
 
 	for _, i := range l.Instances {
 		if i.Role != roleRouter {
-			j.seen(i)
+			j.onTarget(i)
 
 			continue
 		}
--- a/internal/messenger/connection.go
+++ b/internal/messenger/connection.go
@@ -13,7 +13,7 @@
 	"github.com/auburntray/auburntray/internal/wire"
 )
 
-// connection is an outgoing connection that many calls share.
+// connection is an outgoing connection that concurrent calls share.
 type connection struct {
 	conn    net.Conn
 	traffic *Traffic
@@ -23,23 +23,24 @@
 	next    uint32
 	waiting map[uint32]waiter
 	broken  bool
-	// missed is how many calls in a row got no answer in their time.
+	// missed is the number of consecutive calls that timed out.
 	missed int
 }
 
 // waiter is a call that waits for its reply.
 type waiter struct {
-	context context.Context //nolint:containedctx // It lives as long as the call.
+	context context.Context //nolint:containedctx // Its lifetime is that of the call.
 	reply   chan wire.Frame
 }
 
-// missedMost is how many calls in a row may get no answer before the connection is given up.
+// maxMissed is the number of consecutive calls that time out after which the connection is
+// closed and replaced.
 //
-// A connection may go silent for good, without a reset, while new ones work. Nothing shows it
-// but calls that wait their whole time, each of them, for the quarter of an hour in which the
-// system sends again what it holds. One that is late, or a peer that stands still for a moment,
-// is no such sign yet; a peer that stands still for longer takes a new connection too.
-const missedMost = 2
+// A connection may become silent permanently, without a reset, while new ones work. Only the
+// time-outs of its calls reveal this, since the system retransmits for a quarter of an hour
+// before it reports an error. A single late reply or a short stall of the peer is not enough
+// evidence. After a longer stall, the peer accepts the new connection as well.
+const maxMissed = 2
 
 func newConnection(c net.Conn, t *Traffic) *connection {
 	x := &connection{conn: c, traffic: t, waiting: make(map[uint32]waiter)}
@@ -49,16 +50,17 @@
 	return x
 }
 
-// call sends a request and waits for its reply.
+// call sends a request and waits for its reply. It fails with ErrUnreachable, ErrTimeout or
+// ErrRefused, or with ErrFrame if the request can't be encoded.
 func (x *connection) call(c context.Context, k wire.Kind, m msgp.Marshaler) (wire.Frame, error) {
 	w := make(chan wire.Frame, 1)
 
-	n, ok := x.expect(waiter{context: c, reply: w})
+	n, ok := x.register(waiter{context: c, reply: w})
 	if !ok {
 		return wire.Frame{}, ErrUnreachable
 	}
 
-	defer x.forget(n)
+	defer x.unregister(n)
 
 	if err := x.write(k, n, m); err != nil {
 		return wire.Frame{}, err
@@ -77,26 +79,28 @@
 		return f, nil
 	case <-c.Done():
 		if errors.Is(context.Cause(c), context.DeadlineExceeded) {
-			x.miss()
+			x.recordMissed()
 		}
 
 		return wire.Frame{}, errors.Mark(context.Cause(c), ErrTimeout)
 	}
 }
 
-// miss notes a call that got no answer in its time.
-func (x *connection) miss() {
+// recordMissed records a call that timed out, and closes the connection at maxMissed.
+func (x *connection) recordMissed() {
 	x.mu.Lock()
 	x.missed++
 	m := x.missed
 	x.mu.Unlock()
 
-	if m >= missedMost {
+	if m >= maxMissed {
 		x.close()
 	}
 }
 
-func (x *connection) expect(w waiter) (uint32, bool) {
+// register adds a call that waits for a reply and returns its ID, which is not zero. It
+// returns false if the connection is broken.
+func (x *connection) register(w waiter) (uint32, bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 
@@ -114,7 +118,7 @@
 	return x.next, true
 }
 
-func (x *connection) forget(id uint32) {
+func (x *connection) unregister(id uint32) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 
@@ -139,16 +143,15 @@
 	return nil
 }
 
-// read hands each reply to the call that waits for it. A reply that comes after
-// its call gave up finds no one waiting and is dropped, so it can't be taken
-// for the answer to another call.
+// read delivers each reply to the call with its ID. A reply that arrives after its call
+// timed out is dropped, so that it can't be taken for the reply to another call.
 func (x *connection) read() {
 	defer x.close()
 
-	r := bufio.NewReader(heard{connection: x})
+	r := bufio.NewReader(activityReader{connection: x})
 
 	for {
-		f, n, err := decode(r, x.came)
+		f, n, err := decode(r, x.extendWaiting)
 		if err != nil {
 			return
 		}
@@ -158,9 +161,9 @@
 	}
 }
 
-// came extends the calls that wait while a long frame arrives: it is the reply to one of them, and those to
-// the others come behind it.
-func (x *connection) came() {
+// extendWaiting extends the deadlines of all waiting calls while a long frame arrives, since it is the reply to one of
+// them and delays the replies to the others.
+func (x *connection) extendWaiting() {
 	x.mu.Lock()
 
 	l := make([]context.Context, 0, len(x.waiting))
@@ -185,14 +188,14 @@
 	}
 }
 
-// heard reads from a connection and notes that something came: while a long answer is on its
-// way, those behind it are late for that alone.
-type heard struct {
+// activityReader reads from a connection and resets its count of missed calls whenever bytes
+// arrive: a long reply delays those behind it, which is no sign of a silent connection.
+type activityReader struct {
 	connection *connection
 }
 
-// Read is part of io.Reader.
-func (h heard) Read(b []byte) (int, error) {
+// Read implements io.Reader.
+func (h activityReader) Read(b []byte) (int, error) {
 	n, err := h.connection.conn.Read(b)
 
 	h.connection.mu.Lock()
@@ -212,6 +215,7 @@
 	return !x.broken
 }
 
+// close closes the connection and fails all waiting calls with ErrUnreachable.
 func (x *connection) close() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/internal/messenger/export_test.go
+++ b/internal/messenger/export_test.go
@@ -6,10 +6,10 @@
 	"github.com/auburntray/auburntray/internal/wire"
 )
 
-// Encode is encode for tests in the outer package.
+// Encode exports encode for tests.
 var Encode = encode
 
-// Decode is decode for tests in the outer package.
+// Decode exports decode for tests.
 func Decode(r *bufio.Reader) (wire.Frame, int, error) {
 	return decode(r, nil)
 }
--- a/internal/messenger/frame.go
+++ b/internal/messenger/frame.go
@@ -12,16 +12,17 @@
 )
 
 const (
-	// MaxFrame is the largest frame in bytes. A document of the design size
-	// fits several times.
+	// MaxFrame is the largest frame in bytes, several times the size of a configuration
+	// document at the design size.
 	MaxFrame = 16 << 20
-	// piece is how many bytes of a frame are read at a time.
-	piece = 16 << 10
-	// room is for the length and the frame's own fields.
-	room = 24
+	// readChunkBytes is the number of bytes of a frame that are read at a time.
+	readChunkBytes = 16 << 10
+	// frameOverhead is the capacity in bytes for the length and the frame's other fields.
+	frameOverhead = 24
 )
 
-// Size returns how many bytes a message takes on a connection.
+// Size returns the size of a message's frame in bytes, including the length, or zero if
+// the message can't be encoded.
 func Size(k wire.Kind, id uint32, m msgp.Marshaler) int {
 	b, err := encode(k, id, m)
 	if err != nil {
@@ -31,7 +32,8 @@
 	return len(b)
 }
 
-// encode returns a frame with its length before it.
+// encode returns a frame preceded by its length. It fails with ErrFrame if the message
+// can't be encoded or exceeds MaxFrame.
 func encode(k wire.Kind, id uint32, m msgp.Marshaler) ([]byte, error) {
 	b := msgp.Raw{}
 
@@ -46,17 +48,17 @@
 
 	f := wire.Frame{Kind: k, ID: id, Body: b}
 
-	o, err := f.MarshalMsg(make([]byte, binary.MaxVarintLen32, len(b)+room))
+	o, err := f.MarshalMsg(make([]byte, binary.MaxVarintLen32, len(b)+frameOverhead))
 	if err != nil {
 		return nil, errors.Mark(err, ErrFrame)
 	}
 
 	n := len(o) - binary.MaxVarintLen32
 	if n > MaxFrame {
-		return nil, errors.Mark(errors.Newf("a frame of %d bytes", n), ErrFrame)
+		return nil, errors.Mark(errors.Newf("frame of %d bytes exceeds the limit of %d bytes", n, MaxFrame), ErrFrame)
 	}
 
-	// The length is written right before the frame, so that nothing is copied.
+	// The length is written into the space before the frame, which avoids a copy.
 	var l [binary.MaxVarintLen64]byte
 
 	s := binary.MaxVarintLen32 - binary.PutUvarint(l[:], uint64(n)) //nolint:gosec // Not negative.
@@ -65,12 +67,13 @@
 	return o[s:], nil
 }
 
-// decode reads one frame and returns it with its size. A length above MaxFrame
-// is refused before memory is taken for it, or one bad peer could take all of
-// it.
+// decode reads one frame and returns it with its size in bytes. It fails with ErrFrame if
+// the frame is invalid and with ErrUnreachable if the connection breaks. A length above
+// MaxFrame is refused before the memory is allocated, so that a faulty peer can't exhaust
+// the memory.
 //
-// It calls came, when that is not nil, as the pieces of a long frame arrive.
-func decode(r *bufio.Reader, came func()) (wire.Frame, int, error) {
+// If progress is not nil, it is called for each further chunk of a long frame.
+func decode(r *bufio.Reader, progress func()) (wire.Frame, int, error) {
 	var f wire.Frame
 
 	n, err := binary.ReadUvarint(r)
@@ -79,17 +82,17 @@
 	}
 
 	if n == 0 || n > MaxFrame {
-		return f, 0, errors.Mark(errors.Newf("a frame of %d bytes", n), ErrFrame)
+		return f, 0, errors.Mark(errors.Newf("frame length of %d bytes is not between 1 and %d", n, MaxFrame), ErrFrame)
 	}
 
 	b := make([]byte, n)
 
-	for o := 0; o < len(b); o += piece {
-		if o > 0 && came != nil {
-			came()
+	for o := 0; o < len(b); o += readChunkBytes {
+		if o > 0 && progress != nil {
+			progress()
 		}
 
-		if _, err := io.ReadFull(r, b[o:min(o+piece, len(b))]); err != nil {
+		if _, err := io.ReadFull(r, b[o:min(o+readChunkBytes, len(b))]); err != nil {
 			return f, 0, errors.Mark(err, ErrUnreachable)
 		}
 	}
--- a/internal/messenger/arriving_test.go
+++ b/internal/messenger/long_reply_test.go
@@ -16,27 +16,27 @@
 	"github.com/auburntray/auburntray/internal/wire"
 )
 
-// thinDialer makes connections over which little comes at a time.
-type thinDialer struct{ net.Dialer }
+// slowDialer makes connections that receive 16 KiB each 10 ms.
+type slowDialer struct{ net.Dialer }
 
-func (d *thinDialer) DialContext(c context.Context, network, address string) (net.Conn, error) {
+func (d *slowDialer) DialContext(c context.Context, network, address string) (net.Conn, error) {
 	x, err := d.Dialer.DialContext(c, network, address)
 
-	return thinConn{x}, err
+	return slowConn{x}, err
 }
 
-type thinConn struct{ net.Conn }
+type slowConn struct{ net.Conn }
 
-// Read is part of net.Conn: 16 KB each 10 ms.
-func (c thinConn) Read(b []byte) (int, error) {
+// Read implements net.Conn.
+func (c slowConn) Read(b []byte) (int, error) {
 	time.Sleep(10 * time.Millisecond)
 
 	return c.Conn.Read(b[:min(len(b), 16<<10)])
 }
 
-// Guards against a long reply that is given up on its way: in half a second it comes over a thin link, with a
-// fifth of a second for each call.
-func TestLongReplyIsAwaitedWhileItArrives(t *testing.T) {
+// Guards against a call that times out while its long reply arrives: over a narrow-bandwidth link, the reply takes more
+// than half a second, and each call has 200 ms.
+func TestDeadlineIsExtendedWhileReplyArrives(t *testing.T) {
 	b := newMessenger(t, 2)
 	long := make([]byte, 1<<20)
 
@@ -44,7 +44,7 @@
 		return &wire.StreamReply{Packed: long}, nil
 	})
 	b.Handle(wire.KindClaim, func(c context.Context, _ uint64, _ []byte) (msgp.Marshaler, error) {
-		<-c.Done() // No answer at all.
+		<-c.Done() // Never replies.
 
 		return nil, errors.New("over")
 	})
@@ -55,13 +55,13 @@
 		read msgp.Unmarshaler
 		err  error
 	}{
-		"a long reply": {wire.KindStream, &wire.StreamReply{}, nil},
-		"none":         {wire.KindClaim, &wire.ClaimReply{}, messenger.ErrTimeout},
+		"long reply": {wire.KindStream, &wire.StreamReply{}, nil},
+		"no reply":   {wire.KindClaim, &wire.ClaimReply{}, messenger.ErrTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
 
-			a, stop, err := messenger.New(netip.MustParseAddrPort("127.0.0.1:0"), 1, &thinDialer{}, nil)
+			a, stop, err := messenger.New(netip.MustParseAddrPort("127.0.0.1:0"), 1, &slowDialer{}, nil)
 			i.NoErr(err)
 
 			defer stop()
--- a/internal/messenger/messenger.go
+++ b/internal/messenger/messenger.go
@@ -19,25 +19,25 @@
 const (
 	dialTimeout  = 500 * time.Millisecond
 	writeTimeout = 2 * time.Second
-	// redialAfter is how long a peer that could not be dialled is left alone,
-	// so that calls to it fail at once and not after a dial each.
-	redialAfter = 250 * time.Millisecond
-	// acceptAfter is the pause after an accept that failed, in which descriptors may be
-	// given back; the queue of the listener holds peers meanwhile.
-	acceptAfter = 100 * time.Millisecond
+	// redialDelay is the time after a failed dial in which calls to the peer fail
+	// immediately, without a dial of their own.
+	redialDelay = 250 * time.Millisecond
+	// acceptRetryDelay is the pause after a failed accept, in which file descriptors may
+	// become free. New connections wait in the listener's queue meanwhile.
+	acceptRetryDelay = 100 * time.Millisecond
 )
 
-// Handler answers a message from a peer. A nil reply without an error sends
-// none.
+// Handler handles a message from a peer. If the message is a request and the handler
+// returns an error or no reply, the peer's call fails with ErrRefused.
 type Handler func(c context.Context, from uint64, body []byte) (msgp.Marshaler, error)
 
-// dialer makes connections; a net.Dialer does.
+// dialer makes connections; net.Dialer implements it.
 type dialer interface {
 	DialContext(c context.Context, network, address string) (net.Conn, error)
 }
 
-// Messenger sends messages to peers and answers theirs. It is safe for
-// concurrent use once its handlers are set.
+// Messenger sends messages to peers and handles theirs. It is safe for concurrent use once
+// its handlers are set.
 type Messenger struct {
 	id       uint64
 	dialer   dialer
@@ -58,15 +58,15 @@
 type peer struct {
 	mu   sync.Mutex
 	conn *connection
-	// failed is when the last dial failed, and cause how.
+	// failed is the time of the last failed dial, and cause its error.
 	failed time.Time
 	cause  error
 }
 
-// New listens on an address and returns a Messenger with its clean-up
-// function, which closes all connections. It sends under the given ID, over
-// connections that the dialer makes, by TLS when it is configured. Messages are answered from Serve on. It
-// fails with ErrUnreachable when the address can't be listened on.
+// New listens on an address and returns a Messenger and its clean-up function, Close. The
+// Messenger introduces itself to peers with the given ID and connects to them with the
+// dialer, by TLS unless the configuration is nil. Incoming messages are handled once Serve
+// is called. New fails with ErrUnreachable if it can't listen on the address.
 func New(a netip.AddrPort, id uint64, d dialer, s *tls.Config) (*Messenger, func(), error) {
 	l, err := net.Listen("tcp", a.String()) //nolint:noctx // Ended by the clean-up function.
 	if err != nil {
@@ -93,22 +93,24 @@
 	return m, m.Close, nil
 }
 
-// Address returns the address listened on.
+// Address returns the address that the Messenger listens on.
 func (m *Messenger) Address() netip.AddrPort {
 	return m.address
 }
 
-// Traffic returns the counter of control bytes.
+// Traffic returns the counts of bytes sent and received.
 func (m *Messenger) Traffic() *Traffic {
 	return &m.traffic
 }
 
-// Handle sets the handler of a kind. It must be called before Serve.
+// Handle sets the handler for a kind of message. It must be called before Serve. Messages
+// of a kind without a handler are skipped.
 func (m *Messenger) Handle(k wire.Kind, h Handler) {
 	m.handlers[k] = h
 }
 
-// Serve answers peers in the background until clean-up.
+// Serve starts to accept connections and handle their messages in the background, until
+// Close.
 func (m *Messenger) Serve() {
 	m.group.Add(1)
 
@@ -118,17 +120,18 @@
 	}()
 }
 
-// accept takes the connections of peers until clean-up.
+// accept accepts connections of peers until Close.
 //
-// An accept fails also while descriptors run out. Peers went on connecting to an instance
-// that had left it at that, since the listener was still there, and were heard by nobody.
+// It retries after an error, since Accept also fails temporarily when file descriptors run
+// out. An instance that stopped accepting then would keep its listener, so that peers
+// would still connect but get no answers.
 func (m *Messenger) accept() {
 	for {
 		c, err := m.listener.Accept()
 		if err == nil {
 			m.group.Add(1)
 
-			go m.answer(c)
+			go m.serveConn(c)
 
 			continue
 		}
@@ -136,15 +139,14 @@
 		select {
 		case <-m.done:
 			return
-		case <-time.After(acceptAfter):
+		case <-time.After(acceptRetryDelay):
 			logrus.WithFields(logrus.Fields{"event": "acceptFailed", "address": m.address, "error": err}).Warn()
 		}
 	}
 }
 
-// Call sends a request and decodes the reply. It fails with ErrUnreachable,
-// ErrTimeout, ErrRefused or ErrFrame; after each but a failed dial the peer may
-// have acted on the request.
+// Call sends a request and decodes the reply. It fails with ErrUnreachable, ErrTimeout,
+// ErrRefused or ErrFrame. Unless the dial failed, the peer may have processed the request.
 func (m *Messenger) Call(c context.Context, a netip.AddrPort, k wire.Kind, q msgp.Marshaler, r msgp.Unmarshaler) error {
 	x, err := m.dial(c, a)
 	if err != nil {
@@ -157,13 +159,13 @@
 	}
 
 	if _, err := r.UnmarshalMsg(f.Body); err != nil {
-		return errors.Mark(errors.Wrapf(err, "a reply of %d bytes", len(f.Body)), ErrFrame)
+		return errors.Mark(errors.Wrapf(err, "decoding a reply of %d bytes", len(f.Body)), ErrFrame)
 	}
 
 	return nil
 }
 
-// Send sends a message that has no reply.
+// Send sends a message that has no reply. A nil error does not mean that it arrived.
 func (m *Messenger) Send(c context.Context, a netip.AddrPort, k wire.Kind, q msgp.Marshaler) error {
 	x, err := m.dial(c, a)
 	if err != nil {
@@ -173,7 +175,7 @@
 	return x.write(k, 0, q)
 }
 
-// dial returns the connection to a peer, making it when there is none.
+// dial returns the connection to a peer, and makes one if there is none that is usable.
 func (m *Messenger) dial(c context.Context, a netip.AddrPort) (*connection, error) {
 	m.mu.Lock()
 
@@ -192,7 +194,7 @@
 		return p.conn, nil
 	}
 
-	if time.Since(p.failed) < redialAfter {
+	if time.Since(p.failed) < redialDelay {
 		return nil, errors.Mark(p.cause, ErrUnreachable)
 	}
 
@@ -214,13 +216,13 @@
 	return p.conn, nil
 }
 
-// Close ends all connections and waits for the goroutines that serve them. It
-// is the clean-up function; calling it again does nothing.
+// Close closes the listener and all connections, and waits for the goroutines that serve
+// incoming ones. Further calls have no effect.
 func (m *Messenger) Close() {
 	m.once.Do(m.close)
 }
 
-// connect makes a connection, with its handshake.
+// connect makes a connection and performs the TLS handshake, if TLS is configured.
 func (m *Messenger) connect(c context.Context, a netip.AddrPort) (net.Conn, error) {
 	n, err := m.dialer.DialContext(c, "tcp", a.String())
 	if err != nil || m.tls == nil {
@@ -261,6 +263,7 @@
 	m.group.Wait()
 }
 
+// writeAll writes a frame within writeTimeout and counts its bytes.
 func writeAll(c net.Conn, k wire.Kind, b []byte, t *Traffic) error {
 	if err := c.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return errors.Mark(err, ErrUnreachable)
--- a/internal/messenger/messenger_test.go
+++ b/internal/messenger/messenger_test.go
@@ -59,7 +59,7 @@
 	for n := range uint32(100) {
 		i.NoErr(a.Call(t.Context(), b.Address(), wire.KindAsk, &wire.Ask{Cell: n}, &v))
 		i.Equal(v.Target, n)
-		i.Equal(v.RetryAfterMs, uint32(1)) // the peer knows who asked
+		i.Equal(v.RetryAfterMs, uint32(1)) // The ID of the sender, which the handler put there.
 	}
 
 	err := a.Call(t.Context(), b.Address(), wire.KindState, &wire.StateRequest{}, &v)
@@ -69,9 +69,9 @@
 	i.True(errors.Is(err, messenger.ErrUnreachable))
 }
 
-// Guards against a rolling update in which instances of the older release end the connections of newer
-// ones, or answer wrongly, at each message that they do not know.
-func TestMessagesOfANewerReleaseAreSkipped(t *testing.T) {
+// Guards against failures during a rolling update: instances of an older release close the connections of newer
+// ones, or reply incorrectly, when they receive a message of an unknown kind.
+func TestUnknownKindsAreSkipped(t *testing.T) {
 	i := is.New(t)
 	a, b := newMessenger(t, 1), newMessenger(t, 2)
 
@@ -89,15 +89,14 @@
 	}
 }
 
-// A home answers late, after the entry gave up and asked for the next request.
-// Taken for the answer to that one, it would send one caller's request to the
-// place of another's.
-func TestALateReplyGoesToNoOtherCall(t *testing.T) {
+// Guards against a late reply that is taken for the reply to a later call: a home replies after the requesting
+// router timed out, and another request would be sent to the slot reserved for the first.
+func TestLateReplyIsDropped(t *testing.T) {
 	i := is.New(t)
 	a, b := newMessenger(t, 1), newMessenger(t, 2)
 	late := make(chan struct{})
 
-	// Claims are answered on their own, so a late one doesn't hold up the next.
+	// Claims are handled concurrently, so that a late one does not delay the next.
 	b.Handle(wire.KindClaim, func(_ context.Context, _ uint64, x []byte) (msgp.Marshaler, error) {
 		var w wire.Claim
 		if _, err := w.UnmarshalMsg(x); err != nil {
@@ -127,13 +126,13 @@
 	}
 }
 
-// A dial runs out of time, and the calls that come right after it fail at once. They
-// must say so as well: whoever knows that this process stood still during the dial
-// holds it against nobody, and would hold them against a peer that is well.
-func TestCallsAfterAFailedDialTellItsCause(t *testing.T) {
+// A dial times out, and calls within redialDelay fail immediately. Their errors must also be time-outs: callers
+// that know that this process was stalled during the dial ignore time-outs, but would suspect a healthy peer after
+// another error.
+func TestCallsAfterFailedDialReturnItsCause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		i := is.New(t)
-		m, stop, err := messenger.New(netip.MustParseAddrPort("127.0.0.1:0"), 1, mute{}, nil)
+		m, stop, err := messenger.New(netip.MustParseAddrPort("127.0.0.1:0"), 1, unresponsive{}, nil)
 		i.NoErr(err)
 
 		defer stop()
@@ -152,29 +151,29 @@
 			}
 		}
 
-		i.Equal(time.Since(b), took) // the second was not dialled
+		i.Equal(time.Since(b), took) // The second call did not dial.
 	})
 }
 
-// mute is a network that drops what is sent.
-type mute struct{}
+// unresponsive is a dialer whose dials never complete.
+type unresponsive struct{}
 
-func (mute) DialContext(c context.Context, _, _ string) (net.Conn, error) {
+func (unresponsive) DialContext(c context.Context, _, _ string) (net.Conn, error) {
 	<-c.Done()
 
 	return nil, c.Err()
 }
 
-// Whoever reaches the port can send anything. A frame that claims gigabytes must
-// not take them, and one that is no frame ends only its own connection.
-func TestBadFramesEndTheirConnection(t *testing.T) {
+// Any process that reaches the port can send arbitrary bytes. A frame that announces gigabytes must not cause their
+// allocation, and an invalid frame must close only its own connection.
+func TestInvalidFramesCloseTheirConnection(t *testing.T) {
 	for name, b := range map[string][]byte{
-		"too long":           {0xff, 0xff, 0xff, 0xff, 0x0f},
-		"no length":          bytes.Repeat([]byte{0xff}, 20),
-		"empty":              {0},
-		"no msgpack":         {3, 0xc1, 0xc1, 0xc1},
-		"not who is there":   frame(t, wire.KindAsk, &wire.Ask{}),
-		"an end in a frame ": frame(t, wire.KindHello, &wire.Hello{From: 1})[:3],
+		"frame above the limit": {0xff, 0xff, 0xff, 0xff, 0x0f},
+		"length does not end":   bytes.Repeat([]byte{0xff}, 20),
+		"empty frame":           {0},
+		"invalid msgpack":       {3, 0xc1, 0xc1, 0xc1},
+		"no Hello first":        frame(t, wire.KindAsk, &wire.Ask{}),
+		"truncated frame":       frame(t, wire.KindHello, &wire.Hello{From: 1})[:3],
 	} {
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
@@ -192,7 +191,7 @@
 			i.NoErr(c.SetReadDeadline(time.Now().Add(10 * time.Second)))
 
 			_, err = c.Read(make([]byte, 1))
-			i.True(err != nil && !errors.Is(err, context.DeadlineExceeded)) // closed by the peer
+			i.True(err != nil && !errors.Is(err, context.DeadlineExceeded)) // Closed by the peer.
 		})
 	}
 }
@@ -228,12 +227,11 @@
 
 		z, _, err := messenger.Decode(bufio.NewReader(bytes.NewReader(y)))
 		if err != nil || z.Kind != x.Kind || z.ID != x.ID || !bytes.Equal(z.Body, x.Body) {
-			t.Fatalf("%v is not %v: %v", z, x, err)
+			t.Fatalf("decoded %v after encoding %v: %v", z, x, err)
 		}
 	})
 }
 
-// What is sent is counted by kind, requests and replies apart.
 func TestBytesAreCountedByKind(t *testing.T) {
 	is := is.New(t)
 
@@ -253,7 +251,7 @@
 
 	f := x.Traffic()
 	is.Equal(f.SentOf(wire.KindAsk), int64(messenger.Size(wire.KindAsk, 1, q)))
-	// The reply is there before it is counted.
+	// The reply may arrive before its bytes are counted.
 	waiter.Until(t, "the reply's bytes", func() bool {
 		return f.SentOf(wire.KindReply) == int64(messenger.Size(wire.KindReply, 1, r))
 	})
@@ -290,15 +288,15 @@
 	b.ReportMetric(float64(s)/float64(b.N), "bytes/op")
 }
 
-// silentFirst takes connections as a peer does. The first goes silent: what is sent on it is
-// read by nobody, and nothing ends it. The later ones work.
-type silentFirst struct {
+// silentFirstDialer makes a first connection that is silent: what is sent is discarded, and no reply or error ever
+// arrives. Later connections work.
+type silentFirstDialer struct {
 	net.Dialer
 
 	made int
 }
 
-func (d *silentFirst) DialContext(c context.Context, network, address string) (net.Conn, error) {
+func (d *silentFirstDialer) DialContext(c context.Context, network, address string) (net.Conn, error) {
 	d.made++
 	if d.made > 1 {
 		return d.Dialer.DialContext(c, network, address)
@@ -314,9 +312,9 @@
 	return n, nil
 }
 
-// A connection between two instances goes silent for good, without a reset, while new ones
-// work. Each call to that peer waits its whole time, again and again, until the system notices
-// after a quarter of an hour. After two calls without an answer a new connection is made.
+// Guards against a connection that becomes silent permanently, without a reset, while new ones work: every call to
+// the peer would time out until the system reports an error after a quarter of an hour. After two consecutive
+// time-outs, a new connection must be made.
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	i := is.New(t)
 	b := newMessenger(t, 2)
@@ -331,7 +329,7 @@
 	})
 	b.Serve()
 
-	d := &silentFirst{}
+	d := &silentFirstDialer{}
 	a, stop, err := messenger.New(netip.MustParseAddrPort("127.0.0.1:0"), 1, d, nil)
 	i.NoErr(err)
 	t.Cleanup(stop)
@@ -350,7 +348,7 @@
 	i.NoErr(ask(10 * time.Second))
 	i.Equal(d.made, 2)
 
-	// A caller that leaves while it waits says nothing about the connection.
+	// A call that its caller cancels is no evidence against the connection.
 	for range 3 {
 		c, leave := context.WithCancel(t.Context())
 		time.AfterFunc(5*time.Millisecond, leave)
--- a/internal/messenger/answer.go
+++ b/internal/messenger/serve.go
@@ -10,11 +10,11 @@
 	"github.com/auburntray/auburntray/internal/wire"
 )
 
-// greetTimeout is how long a peer may take to say who it is.
-const greetTimeout = 5 * time.Second
+// helloTimeout is how long a peer may take to send its Hello.
+const helloTimeout = 5 * time.Second
 
-// answer serves one incoming connection.
-func (m *Messenger) answer(c net.Conn) {
+// serveConn handles the messages of one incoming connection until it breaks.
+func (m *Messenger) serveConn(c net.Conn) {
 	defer m.group.Done()
 	defer m.untrack(c)
 
@@ -29,10 +29,10 @@
 
 	r := bufio.NewReader(c)
 
-	// Whoever connects and says nothing must not hold a connection for ever.
-	_ = c.SetReadDeadline(time.Now().Add(greetTimeout))
+	// A peer that connects and sends nothing must not occupy a connection without bound.
+	_ = c.SetReadDeadline(time.Now().Add(helloTimeout))
 
-	from, err := m.greeted(r)
+	from, err := m.readHello(r)
 	if err != nil {
 		return
 	}
@@ -52,20 +52,21 @@
 			continue
 		}
 
-		// These wait for the log; answering them in line would hold up the asks
-		// behind them on the same connection.
+		// These kinds wait for the log. Handling them in order would delay the requests
+		// for slots behind them on the same connection.
 		if f.Kind == wire.KindClaim || f.Kind == wire.KindSettle || f.Kind == wire.KindStream {
-			go m.reply(x, c, &w, from, h, f)
+			go m.handle(x, c, &w, from, h, f)
 
 			continue
 		}
 
-		m.reply(x, c, &w, from, h, f)
+		m.handle(x, c, &w, from, h, f)
 	}
 }
 
-// greeted reads the first frame of a connection, which says who is there.
-func (m *Messenger) greeted(r *bufio.Reader) (uint64, error) {
+// readHello reads the first frame of a connection, which must be a Hello, and returns the
+// ID of the peer.
+func (m *Messenger) readHello(r *bufio.Reader) (uint64, error) {
 	f, n, err := decode(r, nil)
 	if err != nil {
 		return 0, err
@@ -81,7 +82,9 @@
 	return h.From, nil
 }
 
-func (m *Messenger) reply(x context.Context, c net.Conn, w *sync.Mutex, from uint64, h Handler, f wire.Frame) {
+// handle passes a message to its handler and sends the reply, or KindError if there is
+// none. Messages with the ID zero get no reply.
+func (m *Messenger) handle(x context.Context, c net.Conn, w *sync.Mutex, from uint64, h Handler, f wire.Frame) {
 	r, err := h(x, from, f.Body)
 	if f.ID == 0 {
 		return
@@ -103,6 +106,7 @@
 	_ = writeAll(c, k, b, &m.traffic)
 }
 
+// track registers a connection to be closed by Close. It returns false after Close.
 func (m *Messenger) track(c net.Conn) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -118,6 +122,7 @@
 	return true
 }
 
+// untrack closes a connection and removes it.
 func (m *Messenger) untrack(c net.Conn) {
 	_ = c.Close()
 
--- a/internal/messenger/traffic.go
+++ b/internal/messenger/traffic.go
@@ -6,20 +6,20 @@
 	"github.com/auburntray/auburntray/internal/wire"
 )
 
-// Traffic counts the bytes of control messages, both ways.
+// Traffic counts the bytes of messages in both directions. It is safe for concurrent use.
 type Traffic struct {
 	sent, received atomic.Int64
-	// kinds are the bytes sent by kind of message.
+	// kinds counts the bytes sent by kind of message.
 	kinds [wire.Kinds]atomic.Int64
 }
 
-// Bytes returns the bytes sent and received so far.
+// Bytes returns the numbers of bytes sent and received so far.
 func (t *Traffic) Bytes() (sent, received int64) {
 	return t.sent.Load(), t.received.Load()
 }
 
-// SentOf returns the bytes sent so far of one kind of message; replies are a kind of
-// their own.
+// SentOf returns the number of bytes sent so far in messages of one kind. Replies are a
+// kind of their own.
 func (t *Traffic) SentOf(k wire.Kind) int64 {
 	return t.kinds[k%wire.Kinds].Load()
 }
--- a/internal/idler/race_test.go
+++ b/internal/reaper/race_test.go
@@ -1,4 +1,4 @@
-package idler_test
+package reaper_test
 
 import (
 	"bufio"
@@ -14,24 +14,24 @@
 
 	"github.com/matryer/is"
 
-	"github.com/auburntray/auburntray/internal/idler"
+	"github.com/auburntray/auburntray/internal/reaper"
 )
 
-// A caller's booking runs, and its connection is closed without an answer. The caller had used
-// the connection again just before its limit; the call was read by the goroutine that serves the
-// connection, which had not yet said so when the sweep came, and the sweep closed it.
-func TestCallThatComesAsItsTimeEnds(t *testing.T) {
+// Guards against a call that runs while its connection is closed without an answer: the caller reuses the
+// connection just before its limit, the serving goroutine has read the call but not yet reported the connection
+// as active, and a sweep closes the connection.
+func TestCallAtExpiryIsServed(t *testing.T) {
 	for name, x := range map[string]struct {
-		// read says that the call was read when the sweep comes.
+		// read reports whether a call has been read when the sweep runs.
 		read bool
-		// calls is how many calls were served before on the connection.
+		// calls is the number of calls served on the connection before.
 		calls int
 	}{
-		"the first call is read":    {read: true},
-		"a further call is read":    {read: true, calls: 1},
-		"nothing is read":           {},
-		"nothing is read any more":  {calls: 1},
-		"many calls, one more read": {read: true, calls: 5},
+		"first call read":  {read: true},
+		"second call read": {read: true, calls: 1},
+		"no call":          {},
+		"no second call":   {calls: 1},
+		"sixth call read":  {read: true, calls: 5},
 	} {
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
@@ -48,13 +48,13 @@
 			s.wait(t, x.calls)
 
 			if x.read {
-				s.held.Store(true)
+				s.holdRead.Store(true)
 				_, err := io.WriteString(n, request)
 				i.NoErr(err)
-				<-s.reads
+				<-s.readDone
 			}
 
-			i.Equal(s.idler.Sweep(), 1)
+			i.Equal(s.reaper.Sweep(), 1)
 
 			if x.read {
 				s.resume <- struct{}{}
@@ -62,14 +62,14 @@
 				i.Equal(answer(n), http.StatusOK)
 				i.Equal(ran.Load(), int64(x.calls+1))
 
-				// The connection is as good as before.
+				// The connection remains usable.
 				i.Equal(call(n), http.StatusOK)
 
 				return
 			}
 
-			// One sweep is not enough where the server has not begun to wait for bytes.
-			s.sweepOn(t)
+			// A single sweep has no effect if the server has not begun to wait for bytes yet.
+			s.sweepContinuously(t)
 
 			_, err := n.Read(make([]byte, 1))
 			i.Equal(err, io.EOF)
@@ -78,15 +78,15 @@
 	}
 }
 
-// The same on sweeps that come at any moment: a call has its answer, or did not run. Before, a
-// few in a thousand ran without an answer.
-func TestSweepsBesideCalls(t *testing.T) {
+// Guards against the same failure with sweeps at arbitrary moments: a call must be answered or not run. When
+// sweeps closed connections, a few calls in a thousand ran without an answer.
+func TestSweepsDuringCalls(t *testing.T) {
 	i := is.New(t)
 
 	var ran atomic.Int64
 
 	s := newServer(t, &ran)
-	s.sweepOn(t)
+	s.sweepContinuously(t)
 
 	served := 0
 
@@ -101,7 +101,7 @@
 			served++
 		}
 
-		_ = n.Close() // Closed already where it was swept.
+		_ = n.Close() // Fails if the server has closed the connection already.
 	}
 
 	i.Equal(ran.Load(), int64(served))
@@ -109,7 +109,7 @@
 
 const request = "POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nab"
 
-// call sends a call and returns the status of its answer; zero when there is none.
+// call sends a call and returns the status of its answer, or zero if there is no answer.
 func call(n net.Conn) int {
 	if _, err := io.WriteString(n, request); err != nil {
 		return 0
@@ -131,17 +131,17 @@
 	return a.StatusCode
 }
 
-// server serves calls on connections whose time is over as soon as they are idle. While held is
-// set, the next read that brings bytes waits for resume before the server sees them, as where
-// another goroutine has the processor.
+// server serves calls on connections that reach their limit as soon as they are idle. While holdRead is set, the
+// next read that returns bytes waits for resume before the server receives them, as if the serving goroutine were
+// waiting for a processor.
 type server struct {
 	net.Listener
 
-	idler  *idler.Idler
-	held   atomic.Bool
-	reads  chan struct{}
-	resume chan struct{}
-	idle   chan struct{}
+	reaper   *reaper.Reaper
+	holdRead atomic.Bool
+	readDone chan struct{}
+	resume   chan struct{}
+	idle     chan struct{}
 }
 
 func newServer(t *testing.T, ran *atomic.Int64) *server {
@@ -153,32 +153,32 @@
 	}
 
 	s := &server{
-		Listener: l, reads: make(chan struct{}), resume: make(chan struct{}), idle: make(chan struct{}, 64),
-		idler: idler.New(func() idler.Limits { return idler.Limits{Idle: time.Nanosecond} }),
+		Listener: l, readDone: make(chan struct{}), resume: make(chan struct{}), idle: make(chan struct{}, 64),
+		reaper: reaper.New(func() reaper.Limits { return reaper.Limits{IdleTimeout: time.Nanosecond} }),
 	}
 	h := &http.Server{
-		ReadHeaderTimeout: time.Minute, ConnContext: s.idler.Context,
+		ReadHeaderTimeout: time.Minute, ConnContext: s.reaper.Context,
 		ConnState: func(n net.Conn, x http.ConnState) {
-			s.idler.Track(n, x)
+			s.reaper.Track(n, x)
 
 			if x == http.StateIdle || x == http.StateNew {
 				select {
 				case s.idle <- struct{}{}:
-				default: // Nobody waits for so many.
+				default: // No test waits for more states than the buffer holds.
 				}
 			}
 		},
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			s.idler.Begun(r.Context())
+			s.reaper.RecordHeaders(r.Context())
 
-			// A call whose connection is closed shows so soon, and one that is well does not.
+			// Leaves time for the context to be canceled if the connection was closed.
 			select {
 			case <-r.Context().Done():
 			case <-time.After(time.Millisecond):
 			}
 
 			ran.Add(1)
-			_, _ = io.Copy(io.Discard, r.Body) // The answer is the same.
+			_, _ = io.Copy(io.Discard, r.Body) // The answer does not depend on the body.
 			w.WriteHeader(http.StatusOK)
 		}),
 	}
@@ -190,7 +190,7 @@
 	return s
 }
 
-// wait waits until a connection is idle after so many calls.
+// wait waits until a connection is idle after the given number of calls.
 func (s *server) wait(t *testing.T, calls int) {
 	t.Helper()
 
@@ -199,8 +199,8 @@
 	}
 }
 
-// sweepOn sweeps again and again until the test ends.
-func (s *server) sweepOn(t *testing.T) {
+// sweepContinuously sweeps in the background until the test ends.
+func (s *server) sweepContinuously(t *testing.T) {
 	t.Helper()
 
 	c, stop := context.WithCancel(context.Background())
@@ -209,7 +209,7 @@
 
 	g.Go(func() {
 		for c.Err() == nil {
-			s.idler.Sweep()
+			s.reaper.Sweep()
 			runtime.Gosched()
 		}
 	})
@@ -233,28 +233,28 @@
 	return n
 }
 
-// Accept is part of net.Listener.
+// Accept implements net.Listener.
 func (s *server) Accept() (net.Conn, error) {
 	n, err := s.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
 
-	return &heldConn{Conn: n, server: s}, nil
+	return &pausingConn{Conn: n, server: s}, nil
 }
 
-type heldConn struct {
+type pausingConn struct {
 	net.Conn
 
 	server *server
 }
 
-// Read is part of net.Conn.
-func (n *heldConn) Read(b []byte) (int, error) {
+// Read implements net.Conn.
+func (n *pausingConn) Read(b []byte) (int, error) {
 	k, err := n.Conn.Read(b)
 
-	if k > 0 && n.server.held.CompareAndSwap(true, false) {
-		n.server.reads <- struct{}{}
+	if k > 0 && n.server.holdRead.CompareAndSwap(true, false) {
+		n.server.readDone <- struct{}{}
 		<-n.server.resume
 	}
 
--- /dev/null
+++ b/internal/reaper/reaper.go
@@ -0,0 +1,131 @@
+// Package reaper closes callers' connections that have been idle for too long, or on
+// which the headers of a call take too long.
+package reaper
+
+import (
+	"context"
+	"net"
+	"net/http"
+	"sync"
+	"time"
+)
+
+// Limits bounds how long a connection may remain without a running call. A zero field
+// sets no bound.
+type Limits struct {
+	// IdleTimeout is the longest time between two calls.
+	IdleTimeout time.Duration
+	// HeaderTimeout is the longest time that the headers of a call may take after their
+	// first byte.
+	HeaderTimeout time.Duration
+}
+
+// phase describes what a connection without a running call waits for.
+type phase struct {
+	since time.Time
+	// header reports that the first byte of a call has arrived.
+	header bool
+	// expired reports that a sweep found the connection over its limit.
+	expired bool
+}
+
+// Reaper tracks the states of a server's connections and closes those that exceed their
+// limits. Unlike the timeouts of http.Server, the limits may change while connections
+// are open. It is safe for concurrent use.
+type Reaper struct {
+	limits func() Limits
+
+	mu      sync.Mutex
+	waiting map[net.Conn]phase
+}
+
+// New returns a Reaper that calls limits at each sweep for the limits in force.
+func New(limits func() Limits) *Reaper {
+	return &Reaper{limits: limits, waiting: make(map[net.Conn]phase)}
+}
+
+// Track records a change of a connection's state; it is the ConnState of an http.Server.
+// A connection that has had no call yet counts as idle too, since it uses a file
+// descriptor as well.
+func (i *Reaper) Track(c net.Conn, s http.ConnState) {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+
+	if s == http.StateActive && i.waiting[c].expired {
+		// The call was read before the sweep set the deadline, so it is served.
+		_ = c.SetReadDeadline(time.Time{}) // Fails only if the connection is closed.
+	}
+
+	switch s {
+	case http.StateNew, http.StateIdle:
+		i.waiting[c] = phase{since: time.Now()}
+	case http.StateActive:
+		i.waiting[c] = phase{since: time.Now(), header: true}
+	case http.StateHijacked, http.StateClosed:
+		delete(i.waiting, c)
+	}
+}
+
+type connKey struct{}
+
+// Context is the ConnContext of an http.Server. It stores the connection in the contexts
+// of its calls.
+func (i *Reaper) Context(c context.Context, n net.Conn) context.Context {
+	return context.WithValue(c, connKey{}, n)
+}
+
+// RecordHeaders records that the headers of the call with this context are complete, so that its
+// connection has no limit until the call ends.
+func (i *Reaper) RecordHeaders(c context.Context) {
+	n, ok := c.Value(connKey{}).(net.Conn)
+	if !ok {
+		return
+	}
+
+	i.mu.Lock()
+	defer i.mu.Unlock()
+
+	delete(i.waiting, n)
+}
+
+// Sweep expires the connections that exceed their limits, and returns how many are newly
+// expired.
+//
+// Sweep does not close connections. The goroutine that serves a connection may have read
+// a call whose change of state has not reached Track yet, because the goroutine waits for
+// a processor or the process stalled. If the connection were closed then, the call would
+// run with its answer lost, or run twice when its caller retries. Sweep sets a read
+// deadline in the past instead. A goroutine that waits for bytes then closes the
+// connection; a call that lies there unread has not run and may be retried. A goroutine
+// that has read a call continues to serve it.
+func (i *Reaper) Sweep() int {
+	l := i.limits()
+
+	i.mu.Lock()
+	defer i.mu.Unlock()
+
+	n := 0
+
+	for c, p := range i.waiting {
+		d := l.IdleTimeout
+		if p.header {
+			d = l.HeaderTimeout
+		}
+
+		if d <= 0 || time.Since(p.since) < d {
+			continue
+		}
+
+		if !p.expired {
+			p.expired = true
+			i.waiting[c] = p
+			n++
+		}
+
+		// Set again at each sweep, since the server clears the deadline when it starts
+		// to wait for a call.
+		_ = c.SetReadDeadline(time.Unix(0, 0)) // Fails only if the connection is closed.
+	}
+
+	return n
+}
--- a/internal/reloader/reloader_test.go
+++ b/internal/reloader/reloader_test.go
@@ -58,9 +58,9 @@
 
 	a := &recorder{}
 
-	x, stop := signaler.New(func(os.Signal, signaler.Use) {})
+	x, stop := signaler.New(func(os.Signal, signaler.Effect) {})
 
-	r := reloader.New(p, []byte("one"), x.HangUps(), a.apply)
+	r := reloader.New(p, []byte("one"), x.Reloads(), a.apply)
 
 	c, end := context.WithCancel(t.Context())
 
--- a/internal/asker/asker_test.go
+++ b/internal/requester/requester_test.go
@@ -1,4 +1,4 @@
-package asker_test
+package requester_test
 
 import (
 	"context"
@@ -11,38 +11,38 @@
 	"github.com/matryer/is"
 	"github.com/tinylib/msgp/msgp"
 
-	"github.com/auburntray/auburntray/internal/asker"
 	"github.com/auburntray/auburntray/internal/counter"
 	"github.com/auburntray/auburntray/internal/gossiper"
 	"github.com/auburntray/auburntray/internal/granter"
 	"github.com/auburntray/auburntray/internal/matcher"
 	"github.com/auburntray/auburntray/internal/messenger"
+	"github.com/auburntray/auburntray/internal/requester"
 	"github.com/auburntray/auburntray/internal/tracker"
 	"github.com/auburntray/auburntray/internal/wire"
 )
 
 const self = 1
 
-// network is a fake of the other routers and of the own keeper. Each grants
-// target 7 and notes what it is sent.
+// network is a fake of the other routers and of this router's supervisor. Each grants a
+// slot at target 7 and records the messages that it receives.
 type network struct {
-	home  uint64
-	down  map[uint64]bool
-	syncs map[uint64][]wire.Sync
-	asks  map[uint64]int
-	freed map[uint64][]wire.Release
-	// reports are what each home was told of targets, and tell makes homes ask.
-	reports map[uint64][]wire.Report
-	tell    bool
-	// err is how messages to others end, and still says that this process stood still.
-	err   error
-	still bool
+	home     uint64
+	down     map[uint64]bool
+	syncs    map[uint64][]wire.Sync
+	asks     map[uint64]int
+	released map[uint64][]wire.Release
+	// reports are those that each home received, and reportDue makes homes request one.
+	reports   map[uint64][]wire.Report
+	reportDue bool
+	// err is the error of messages to other routers, and stalled reports a stall of this process.
+	err     error
+	stalled bool
 }
 
 func newNetwork() *network {
 	return &network{
 		home: 2, down: make(map[uint64]bool), syncs: make(map[uint64][]wire.Sync),
-		asks: make(map[uint64]int), freed: make(map[uint64][]wire.Release), reports: make(map[uint64][]wire.Report),
+		asks: make(map[uint64]int), released: make(map[uint64][]wire.Release), reports: make(map[uint64][]wire.Report),
 	}
 }
 
@@ -72,20 +72,20 @@
 	}
 
 	if n.fails(id(a)) {
-		return errors.New("gone")
+		return errors.New("connection refused")
 	}
 
 	v, _ := r.(*wire.Verdict)
 	v.Target = 7
 
-	if n.tell {
+	if n.reportDue {
 		v.Flags = wire.FlagTell
 	}
 
 	return nil
 }
 
-func (n *network) Stalled(time.Time) bool { return n.still }
+func (n *network) Stalled(time.Time) bool { return n.stalled }
 
 func (n *network) Send(_ context.Context, a netip.AddrPort, _ wire.Kind, m msgp.Marshaler) error {
 	if n.err != nil {
@@ -98,7 +98,7 @@
 	case *wire.Report:
 		n.reports[id(a)] = append(n.reports[id(a)], *w)
 	case *wire.Release:
-		n.freed[id(a)] = append(n.freed[id(a)], *w)
+		n.released[id(a)] = append(n.released[id(a)], *w)
 	}
 
 	return nil
@@ -111,7 +111,7 @@
 }
 
 func (n *network) Release(_ time.Time, _ uint64, w wire.Release) {
-	n.freed[self] = append(n.freed[self], w)
+	n.released[self] = append(n.released[self], w)
 }
 
 func (n *network) BackOff(time.Time, wire.Rest) {}
@@ -124,57 +124,56 @@
 	n.syncs[self] = append(n.syncs[self], w)
 }
 
-func newAsker(n *network) *asker.Asker {
-	return asker.New(n, n, n, counter.New(), n, time.Second)
+func newRequester(n *network) *requester.Requester {
+	return requester.New(n, n, n, counter.New(), n, time.Second)
 }
 
-func request() asker.Request {
-	return asker.Request{Cell: &matcher.Cell{ID: 9, DataCentres: []string{"d"}}, Customer: 3}
+func request() requester.Request {
+	return requester.Request{Cell: &matcher.Cell{ID: 9, DataCentres: []string{"d"}}, Customer: 3}
 }
 
-// A cell's home changes: it was replaced, or routers disagree. The new home must
-// learn what is in flight before it grants, or it takes busy engines for idle
-// ones and buries them.
-func TestANewHomeIsToldWhatIsInFlight(t *testing.T) {
+// Guards against a new home that considers busy targets idle and overloads them: when the home of a cell changes,
+// the new one must receive the grants in flight before it grants slots.
+func TestNewHomeReceivesGrantsInFlight(t *testing.T) {
 	i := is.New(t)
 	n := newNetwork()
-	a := newAsker(n)
+	a := newRequester(n)
 
 	for range 3 {
-		_, err := a.Ask(t.Context(), request())
+		_, err := a.Reserve(t.Context(), request())
 		i.NoErr(err)
 	}
 
 	n.home = 4
-	p, err := a.Ask(t.Context(), request())
+	p, err := a.Reserve(t.Context(), request())
 	i.NoErr(err)
 	i.Equal(len(n.syncs[2]), 0)
 	i.Equal(len(n.syncs[4]), 1)
 	i.Equal(len(n.syncs[4][0].Grants), 3)
-	i.Equal(n.syncs[4][0].UpTo, uint32(3)) // the ask under way is not in the list
+	i.Equal(n.syncs[4][0].UpTo, uint32(3)) // The pending request is not in the list.
 
 	a.Release(p, granter.Outcome{OK: true})
-	i.Equal(len(n.freed[4]), 1)
+	i.Equal(len(n.released[4]), 1)
 
 	a.SyncAll(t.Context())
 	i.Equal(len(n.syncs[4][1].Grants), 3)
-	i.Equal(n.syncs[4][1].UpTo, uint32(4)) // nothing is under way now
+	i.Equal(n.syncs[4][1].UpTo, uint32(4)) // No request is pending.
 }
 
-// The home does not answer. The entry asks the next one, and when that fails too
-// decides by what it knows itself; the call goes on.
-func TestAHomeThatIsGoneIsPassedOver(t *testing.T) {
+// Guards against calls that fail because a home does not answer: the router must try the next home, and if that
+// fails too, decide locally.
+func TestUnreachableHomeIsReplaced(t *testing.T) {
 	for name, tc := range map[string]struct {
 		down   []uint64
 		home   uint64
 		answer uint64
 	}{
-		"the home answers":        {nil, 2, 2},
-		"it is this router":       {nil, self, self},
-		"it is gone":              {[]uint64{101}, 101, 0},
-		"and so is the next":      {nil, 101, self},
-		"the next one is up":      {nil, 2, 2},
-		"suspected ones are past": {[]uint64{101, 102}, 101, self},
+		"home answers":                {nil, 2, 2},
+		"home is this router":         {nil, self, self},
+		"home is suspected":           {[]uint64{101}, 101, 0},
+		"both homes fail":             {nil, 101, self},
+		"home answers again":          {nil, 2, 2},
+		"suspected homes are skipped": {[]uint64{101, 102}, 101, self},
 	} {
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
@@ -185,7 +184,7 @@
 				n.down[d] = true
 			}
 
-			p, err := newAsker(n).Ask(t.Context(), request())
+			p, err := newRequester(n).Reserve(t.Context(), request())
 			i.NoErr(err)
 			i.Equal(p.Target, uint32(7))
 
@@ -196,55 +195,54 @@
 	}
 }
 
-// This router stands still while it asks a home, and on waking the ask has run out of
-// time; the home had answered. Passed over for it, the home would go on granting
-// places of which this router, deciding in its stead, knows nothing. A home that is
-// mute while this router runs, or that refuses the connection, is passed over.
-func TestAPauseIsNotHeldAgainstAHome(t *testing.T) {
+// Guards against suspecting a healthy home after a stall of this router: a pending request times out though the home
+// has answered. The home would continue to grant slots that this router, deciding locally, does not know of. A home
+// that does not answer while this router runs, or that refuses the connection, must be suspected.
+func TestHomeIsNotSuspectedAfterStall(t *testing.T) {
 	late := errors.Mark(context.DeadlineExceeded, messenger.ErrTimeout)
 	refused := errors.Mark(syscall.ECONNREFUSED, messenger.ErrUnreachable)
 
 	for name, tc := range map[string]struct {
 		err       error
-		still     bool
+		stalled   bool
 		suspected bool
 	}{
-		"stood still, out of time": {err: late, still: true},
-		"runs, out of time":        {err: late, suspected: true},
-		"stood still, refused":     {err: refused, still: true, suspected: true},
-		"runs, refused":            {err: refused, suspected: true},
+		"stalled, timed out": {err: late, stalled: true},
+		"running, timed out": {err: late, suspected: true},
+		"stalled, refused":   {err: refused, stalled: true, suspected: true},
+		"running, refused":   {err: refused, suspected: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
 			n := newNetwork()
-			a := newAsker(n)
+			a := newRequester(n)
 
-			p, err := a.Ask(t.Context(), request())
+			p, err := a.Reserve(t.Context(), request())
 			i.NoErr(err)
 
-			n.err, n.still = tc.err, tc.still
+			n.err, n.stalled = tc.err, tc.stalled
 			a.Release(p, granter.Outcome{OK: true})
 			i.Equal(n.down[2], tc.suspected)
 
 			n.down = make(map[uint64]bool)
-			p, err = a.Ask(t.Context(), request())
+			p, err = a.Reserve(t.Context(), request())
 			i.NoErr(err)
-			i.Equal(p.Target, uint32(7)) // decided here, so the call goes on
+			i.Equal(p.Target, uint32(7)) // Decided locally.
 			i.Equal(n.down[2], tc.suspected)
 		})
 	}
 }
 
-// What a target says of itself goes to the home only when it is news or the home
-// wants it, and then at once.
-func TestATargetsStateIsToldOnce(t *testing.T) {
+// A target's report must be forwarded to the home only if its state has changed or the home requested a report, and
+// then immediately.
+func TestTargetStateIsReportedOnce(t *testing.T) {
 	i := is.New(t)
 	n := newNetwork()
-	a := newAsker(n)
+	a := newRequester(n)
 	s := tracker.State{Incarnation: 5}
 
 	for range 3 {
-		p, err := a.Ask(t.Context(), request())
+		p, err := a.Reserve(t.Context(), request())
 		i.NoErr(err)
 		a.Report(p, 1, s)
 	}
@@ -254,17 +252,17 @@
 
 	s.Leaving = true
 
-	p, err := a.Ask(t.Context(), request())
+	p, err := a.Reserve(t.Context(), request())
 	i.NoErr(err)
-	a.Report(p, 1, s) // at once, not at the end of the answer
+	a.Report(p, 1, s) // Immediately, not at the end of the answer.
 	i.Equal(len(n.reports[2]), 2)
 	i.True(n.reports[2][1].Leaving)
 
-	n.tell = true
-	p, err = a.Ask(t.Context(), request())
+	n.reportDue = true
+	p, err = a.Reserve(t.Context(), request())
 	i.NoErr(err)
 	a.Report(p, 9, s)
-	i.Equal(len(n.reports[2]), 3) // the home wanted to know
+	i.Equal(len(n.reports[2]), 3) // Requested by the home.
 	i.Equal(n.reports[2][2].Requests, int32(9))
 	i.Equal(n.reports[2][2].Incarnation, uint64(0))
 }
--- /dev/null
+++ b/internal/requester/reserve.go
@@ -0,0 +1,168 @@
+package requester
+
+import (
+	"context"
+	"math"
+	"time"
+
+	"github.com/cockroachdb/errors"
+	"github.com/sirupsen/logrus"
+
+	"github.com/auburntray/auburntray/internal/counter"
+	"github.com/auburntray/auburntray/internal/gossiper"
+	"github.com/auburntray/auburntray/internal/granter"
+	"github.com/auburntray/auburntray/internal/matcher"
+	"github.com/auburntray/auburntray/internal/messenger"
+	"github.com/auburntray/auburntray/internal/wire"
+)
+
+// homeAttempts is the number of homes that are tried before this router decides itself.
+const homeAttempts = 2
+
+// ErrNoSlot means that the request for a slot was canceled, or that no home could be
+// reached and this router could not decide either.
+var ErrNoSlot = errors.New("no slot could be requested")
+
+// Request describes the call that a slot is requested for, see granter.Request.
+type Request struct {
+	Cell     *matcher.Cell
+	Rule     uint32
+	Customer uint32
+	Chat     uint64
+	Prompt   int
+	Hint     uint32
+	Excluded []uint32
+	// Waited is how long the call has waited for a slot at the target of its placement.
+	Waited time.Duration
+	// Forwarded reports that the home of another cell forwarded the request to this cell.
+	Forwarded bool
+}
+
+// Reservation is the verdict on a Request: a slot at a target if Reason is granter.Granted, and
+// otherwise the reason why there is none. It contains what is needed to release the slot.
+// If Reason is granter.Elsewhere, Target is the cell to send the request to.
+type Reservation struct {
+	Reason     granter.Reason
+	Target     uint32
+	Returned   bool
+	RetryAfter time.Duration
+
+	cell *matcher.Cell
+	seq  uint32
+	// reportDue says that the home requested a load report.
+	reportDue bool
+}
+
+// Reserve reserves a slot in a cell at the cell's home (home node: the one router that reserves
+// slots there). If the home can't be reached, it tries the next one, and finally decides
+// locally by this router's own knowledge: its own calls and the targets' load reports. It
+// fails with ErrNoSlot.
+func (a *Requester) Reserve(c context.Context, r Request) (Reservation, error) {
+	w := a.newAsk(r)
+	defer a.finishAsk(w.Seq)
+
+	for range homeAttempts {
+		h, ok := a.remoteHome(r.Cell)
+		if !ok {
+			return a.reserveLocally(c, r, w)
+		}
+
+		a.setHome(c, r.Cell, h)
+
+		b := time.Now()
+
+		v, err := a.requestHome(c, h, w)
+		if err == nil {
+			return a.record(r, w, v), nil
+		}
+
+		if c.Err() != nil {
+			return Reservation{}, errors.Mark(c.Err(), ErrNoSlot)
+		}
+
+		// A home that refuses does not know the cell or the rule, because its
+		// configuration is of another revision. It is healthy and must not be suspected,
+		// since it is the home of other cells.
+		if errors.Is(err, messenger.ErrRefused) {
+			break
+		}
+
+		a.counter.Add(counter.HomeRequestsFailed, 1)
+		logrus.WithFields(logrus.Fields{"event": "askFailed", "peer": h.Address, "error": err}).Warn()
+		a.suspect(h, b, err)
+	}
+
+	a.counter.Add(counter.DecidedLocally, 1)
+
+	return a.reserveLocally(c, r, w)
+}
+
+// reserveLocally decides at this router, whether it is the cell's home or not.
+func (a *Requester) reserveLocally(c context.Context, r Request, w wire.Ask) (Reservation, error) {
+	a.setHome(c, r.Cell, a.members.Self())
+
+	v, err := a.supervisor.Reserve(time.Now(), a.members.Self().ID, w)
+	if err != nil {
+		return Reservation{}, errors.Mark(err, ErrNoSlot)
+	}
+
+	return a.record(r, w, v), nil
+}
+
+// newAsk assigns the next sequence number to a request, which is pending until finishAsk.
+func (a *Requester) newAsk(r Request) wire.Ask {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+
+	a.seq++
+	a.pending[a.seq] = true
+
+	return wire.Ask{
+		Seq: a.seq, Cell: r.Cell.ID, Rule: r.Rule, Customer: r.Customer, Chat: r.Chat, Prompt: clamp(r.Prompt),
+		Hint: r.Hint, Excluded: r.Excluded, WaitedMs: clamp(int(r.Waited.Milliseconds())),
+		Sent: r.Forwarded,
+	}
+}
+
+func (a *Requester) finishAsk(seq uint32) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+
+	delete(a.pending, seq)
+}
+
+// requestHome sends a request to another router within the time-out of one request.
+func (a *Requester) requestHome(c context.Context, h gossiper.Member, w wire.Ask) (wire.Verdict, error) {
+	x, stop := context.WithTimeout(c, a.timeout)
+	defer stop()
+
+	var v wire.Verdict
+
+	err := a.peers.Call(x, h.Address, wire.KindAsk, &w, &v)
+
+	return v, err
+}
+
+// record converts a verdict and, if it is a grant, adds it to this router's grants.
+func (a *Requester) record(r Request, w wire.Ask, v wire.Verdict) Reservation {
+	p := Reservation{
+		Reason: granter.Reason(v.Reason), Target: v.Target, Returned: v.Flags&wire.FlagReturned != 0, reportDue: v.Flags&wire.FlagTell != 0,
+		RetryAfter: time.Duration(v.RetryAfterMs) * time.Millisecond, cell: r.Cell, seq: w.Seq,
+	}
+
+	if p.Reason != granter.Granted {
+		return p
+	}
+
+	a.mu.Lock()
+	defer a.mu.Unlock()
+
+	a.entry(r.Cell).grants[w.Seq] = wire.Grant{Seq: w.Seq, Target: v.Target, Customer: w.Customer}
+
+	return p
+}
+
+// clamp converts a number for the wire, where it must not be negative.
+func clamp(n int) uint32 {
+	return uint32(min(max(n, 0), math.MaxInt32))
+}
--- a/internal/asker/sync.go
+++ b/internal/requester/sync.go
@@ -1,4 +1,4 @@
-package asker
+package requester
 
 import (
 	"context"
@@ -11,8 +11,8 @@
 	"github.com/auburntray/auburntray/internal/wire"
 )
 
-// SyncAll sends all homes their list of grants now.
-func (a *Asker) SyncAll(c context.Context) {
+// SyncAll sends the home of each cell the list of this router's grants there.
+func (a *Requester) SyncAll(c context.Context) {
 	a.mu.Lock()
 	l := make([]*matcher.Cell, 0, len(a.cells))
 
@@ -29,9 +29,9 @@
 	}
 }
 
-// moved tells a new home of the grants that the former one knew. Without it
-// the new home would take the cell for idle and bury the targets that are not.
-func (a *Asker) moved(c context.Context, x *matcher.Cell, h gossiper.Member) {
+// setHome records the home of a cell. If it has changed, it sends this router's grants to
+// the new home, which would otherwise consider the targets idle and overload them.
+func (a *Requester) setHome(c context.Context, x *matcher.Cell, h gossiper.Member) {
 	a.mu.Lock()
 	e := a.entry(x)
 	m := e.home != h.ID && e.home != 0
@@ -43,11 +43,12 @@
 	}
 }
 
-func (a *Asker) sync(c context.Context, x *matcher.Cell, h gossiper.Member) {
-	w := a.list(x)
+// sync sends a home the list of this router's grants in a cell.
+func (a *Requester) sync(c context.Context, x *matcher.Cell, h gossiper.Member) {
+	w := a.grantList(x)
 
 	if h.ID == a.members.Self().ID {
-		a.keeper.Sync(time.Now(), a.members.Self().ID, w)
+		a.supervisor.Sync(time.Now(), a.members.Self().ID, w)
 
 		return
 	}
@@ -60,8 +61,8 @@
 	}
 }
 
-// list returns this router's grants in a cell.
-func (a *Asker) list(x *matcher.Cell) wire.Sync {
+// grantList returns this router's grants in a cell.
+func (a *Requester) grantList(x *matcher.Cell) wire.Sync {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 
@@ -75,12 +76,12 @@
 	return w
 }
 
-// upTo returns the highest number below which no ask is under way: the home may
-// drop what it holds up to there and the list does not name.
-func (a *Asker) upTo() uint32 {
+// upTo returns the highest sequence number up to which no request is pending. The home may
+// delete grants up to this number that the list does not contain.
+func (a *Requester) upTo() uint32 {
 	n := a.seq
 
-	for s := range a.asking {
+	for s := range a.pending {
 		n = min(n, s-1)
 	}
 
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -16,7 +16,6 @@
 	"go.uber.org/fx"
 	"go.uber.org/fx/fxevent"
 
-	"github.com/auburntray/auburntray/internal/asker"
 	"github.com/auburntray/auburntray/internal/counter"
 	"github.com/auburntray/auburntray/internal/drainer"
 	"github.com/auburntray/auburntray/internal/filterer"
@@ -30,6 +29,7 @@
 	"github.com/auburntray/auburntray/internal/recoverer"
 	"github.com/auburntray/auburntray/internal/registrar"
 	"github.com/auburntray/auburntray/internal/replicator"
+	"github.com/auburntray/auburntray/internal/requester"
 	"github.com/auburntray/auburntray/internal/resolver"
 	"github.com/auburntray/auburntray/internal/sender"
 	"github.com/auburntray/auburntray/internal/supervisor"
@@ -44,7 +44,7 @@
 	follower   *follower.Follower
 	joiner     *joiner.Joiner
 	supervisor *supervisor.Supervisor
-	requester  *asker.Asker
+	requester  *requester.Requester
 	reconciler *reconciler.Reconciler
 	messenger  *messenger.Messenger
 	recorder   *recorder.Recorder
@@ -124,7 +124,7 @@
 	Follower   *follower.Follower
 	Joiner     *joiner.Joiner
 	Supervisor *supervisor.Supervisor
-	Requester  *asker.Asker
+	Requester  *requester.Requester
 	Registrar  *registrar.Registrar
 	Reconciler *reconciler.Reconciler
 	Drainer    *drainer.Drainer
@@ -142,11 +142,11 @@
 
 	g := gossiper.New(gossiper.DefaultSettings(), mathrand.New(mathrand.NewPCG(self.ID, 0)), self) //nolint:gosec // Not used for secrets.
 	o.Joiner = joiner.New(m, r, g, self, s.Seeds, joiner.Hooks{
-		Revision: func() uint64 { return o.Follower.Revision() },
-		Ahead:    aheadHandler(o.Follower),
-		Seen:     o.Supervisor.ObserveInstance,
+		Revision:        func() uint64 { return o.Follower.Revision() },
+		OnNewerRevision: aheadHandler(o.Follower),
+		OnTargetChange:  o.Supervisor.ObserveInstance,
 	})
-	o.Requester = asker.New(m, o.Joiner, o.Supervisor, n, p, s.AskTimeout)
+	o.Requester = requester.New(m, o.Joiner, o.Supervisor, n, p, s.AskTimeout)
 	o.Registrar = registrar.New(r, m, o.Joiner, p, s.ClaimWindow)
 	o.Reconciler = reconciler.New(r, t, n, self.ID)
 	o.Drainer = drainer.New(s.DrainNotice, s.MaxInFlight)
@@ -173,7 +173,7 @@
 	return replicator.New(m, j, nil, quarantiner.DefaultSettings())
 }
 
-func newPipeline(s resolver.Router, t trace.Tracer, d *drainer.Drainer, f *follower.Follower, a *asker.Asker,
+func newPipeline(s resolver.Router, t trace.Tracer, d *drainer.Drainer, f *follower.Follower, a *requester.Requester,
 	g *registrar.Registrar, x *sender.Sender, n *counter.Counter, p *stallMonitor, q *replicator.Replicator,
 ) *filterer.Pipeline {
 	i := filterer.Isolate{Quarantine: q, Targets: x}
@@ -200,7 +200,7 @@
 	Follower   *follower.Follower
 	Joiner     *joiner.Joiner
 	Supervisor *supervisor.Supervisor
-	Requester  *asker.Asker
+	Requester  *requester.Requester
 	Registrar  *registrar.Registrar
 	Reconciler *reconciler.Reconciler
 	Messenger  *messenger.Messenger
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -85,7 +85,7 @@
 	_, complete := streamedText(r.body)
 	i.True(!complete)
 	i.True(r.err != nil)
-	i.True(strings.Contains(r.body, string(exchanger.CodeBroken)))
+	i.True(strings.Contains(r.body, string(exchanger.CodeAnswerBroken)))
 }
 
 // A router is stopped while it streams an answer. The answer must be completed, and calls that
@@ -414,7 +414,7 @@
 		"negative deadline":       {"/book", exchanger.HeaderDeadline, "-1s", "", 400, exchanger.CodeBadRequest},
 		"key too long":            {"/book", exchanger.HeaderKey, strings.Repeat("k", 300), "", 400, exchanger.CodeBadRequest},
 		"body too large":          {"/book", "", "", strings.Repeat("x", 9<<20), 413, exchanger.CodeTooLarge},
-		"invalid placement token": {"/v1/chat/completions", exchanger.HeaderPlace, "\x7f~", `{"messages":[]}`, 400, exchanger.CodeBadRequest},
+		"invalid placement token": {"/v1/chat/completions", exchanger.HeaderPlacement, "\x7f~", `{"messages":[]}`, 400, exchanger.CodeBadRequest},
 	} {
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
--- a/internal/sender/header.go
+++ b/internal/sender/header.go
@@ -13,7 +13,7 @@
 	switch http.CanonicalHeaderKey(name) {
 	case "Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 		"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Accept-Encoding",
-		http.CanonicalHeaderKey(exchanger.HeaderPlace), http.CanonicalHeaderKey(exchanger.HeaderDeadline),
+		http.CanonicalHeaderKey(exchanger.HeaderPlacement), http.CanonicalHeaderKey(exchanger.HeaderDeadline),
 		exchanger.TargetRequestID, exchanger.TargetPriority,
 		exchanger.TargetRequests, exchanger.TargetIncarnation, exchanger.TargetLeaving, exchanger.TargetNotRun:
 		return true
--- a/internal/signaler/hold.go
+++ b/internal/signaler/sighup.go
@@ -2,4 +2,4 @@
 
 package signaler
 
-import "C" // hold.c
+import "C" // Links sighup.c.
--- a/internal/signaler/signaler.go
+++ b/internal/signaler/signaler.go
@@ -1,5 +1,5 @@
-// Package signaler owns the signals of a long-running process, from its first moment to
-// its last.
+// Package signaler handles the signals of a long-running process, from its start to its
+// exit.
 package signaler
 
 import (
@@ -11,102 +11,104 @@
 	"syscall"
 )
 
-// pending is how many signals without a use may wait to be told of.
-const pending = 8
+// maxUnhandled is the number of unhandled signals that may wait to be reported.
+const maxUnhandled = 8
 
-// inbox is where signals wait until somebody looks at them.
+// inbox buffers signals until a Signaler reads them.
 type inbox struct {
-	// stops holds the first signal that asks for a stop, hangs one that asks for a look
-	// at the settings. More of the same say nothing new.
-	stops, hangs chan os.Signal
-	// others are those without a use.
-	others chan os.Signal
+	// stops buffers the first signal that requests a stop, hangUps one that requests a
+	// reload of the settings. Further ones of the same kind add no information.
+	stops, hangUps chan os.Signal
+	// unhandled buffers signals that have no effect.
+	unhandled chan os.Signal
 }
 
 // process is the inbox of this process.
 //
-// A signal that no code takes ends a process with every call that it serves, without a
-// line of log. Parts and settings take milliseconds to put together, in which the
-// platform may already send SIGHUP; so signals are taken as soon as the language lets
-// code run, before any function does, and are never given back while the process
-// serves: it may also be told of a change while it writes its last lines.
-var process = take() //nolint:gochecknoglobals // Signals are the process's, and this runs before all functions.
+// A signal that no code handles ends the process with all calls that it serves, without a
+// log line. Reading the settings and building the components takes milliseconds, in which
+// the platform may already send SIGHUP. Signals are therefore captured when package
+// variables are set up, before any other code runs, and not released while the
+// process serves: a SIGHUP may also arrive during shutdown.
+var process = captureSignals() //nolint:gochecknoglobals // Signals are per process, and this runs before all functions.
 
 var (
-	// useless are the signals that a platform or an operator may send and that have no
-	// use here. SIGABRT is left for whoever wants a process's goroutines at its end.
-	useless = []os.Signal{syscall.SIGUSR1, syscall.SIGUSR2, syscall.SIGALRM, syscall.SIGQUIT} //nolint:gochecknoglobals // A constant table.
-	// dropped are those that the system sends by itself: that a pipe has no reader, where
-	// the write fails and that is all, and that a terminal wants the process to stand
-	// still, with its callers waiting.
-	dropped = []os.Signal{syscall.SIGTSTP, syscall.SIGTTIN, syscall.SIGTTOU, syscall.SIGPIPE} //nolint:gochecknoglobals // A constant table.
+	// unhandled are the signals that a platform or an operator may send and that have no
+	// effect here. SIGABRT keeps its default, which prints all goroutines and exits.
+	unhandled = []os.Signal{syscall.SIGUSR1, syscall.SIGUSR2, syscall.SIGALRM, syscall.SIGQUIT} //nolint:gochecknoglobals // A constant table.
+	// discarded are the signals that the system sends by itself: SIGPIPE for a pipe
+	// without a reader, where the failed write is enough, and those with which a terminal
+	// would suspend the process while callers wait.
+	discarded = []os.Signal{syscall.SIGTSTP, syscall.SIGTTIN, syscall.SIGTTOU, syscall.SIGPIPE} //nolint:gochecknoglobals // A constant table.
 )
 
-func take() *inbox {
+func captureSignals() *inbox {
 	i := &inbox{
-		stops: make(chan os.Signal, 1), hangs: make(chan os.Signal, 1), others: make(chan os.Signal, pending),
+		stops: make(chan os.Signal, 1), hangUps: make(chan os.Signal, 1), unhandled: make(chan os.Signal, maxUnhandled),
 	}
 
 	signal.Notify(i.stops, syscall.SIGTERM, syscall.SIGINT)
-	signal.Notify(i.hangs, syscall.SIGHUP)
-	signal.Notify(i.others, useless...)
-	signal.Ignore(dropped...)
+	signal.Notify(i.hangUps, syscall.SIGHUP)
+	signal.Notify(i.unhandled, unhandled...)
+	signal.Ignore(discarded...)
 
 	return i
 }
 
-// hungUp is the exit code of a command that ends with its terminal, as shells have it.
-const hungUp = 128 + int(syscall.SIGHUP)
+// exitHangUp is the exit code of a command that SIGHUP ends, by the convention of shells.
+const exitHangUp = 128 + int(syscall.SIGHUP)
 
-// Release gives the signals back to the system, for a command that runs for a moment
-// and is to end with the terminal or the pipe that it writes to. A signal that had come
-// before does now what it does by default.
+// Release restores the default effects of the signals, for a short-lived command that
+// should end with its terminal or with the pipe that it writes to. A signal that arrived
+// before takes its default effect now.
 func Release() {
-	// A signal that is dropped goes back to its default only by way of being taken.
-	signal.Notify(make(chan os.Signal, 1), dropped...)
-	signal.Reset(slices.Concat([]os.Signal{syscall.SIGTERM, syscall.SIGINT}, useless, dropped)...)
+	// Reset restores the default of an ignored signal only after a call to Notify for it.
+	signal.Notify(make(chan os.Signal, 1), discarded...)
+	signal.Reset(slices.Concat([]os.Signal{syscall.SIGTERM, syscall.SIGINT}, unhandled, discarded)...)
 
 	select {
 	case s := <-process.stops:
 		if x, ok := s.(syscall.Signal); ok {
-			_ = syscall.Kill(os.Getpid(), x) // This process is there.
+			_ = syscall.Kill(os.Getpid(), x) // This process exists.
 		}
 	default:
 	}
 
-	// Given back, it would be dropped, as before the runtime took it.
+	// SIGHUP is not reset: it would be ignored again, as sighup.c set it before the
+	// runtime started.
 	go func() {
-		<-process.hangs
-		os.Exit(hungUp)
+		<-process.hangUps
+		os.Exit(exitHangUp)
 	}()
 }
 
-// Use is what a signal was used for.
-type Use string
+// Effect is what a signal causes.
+type Effect string
 
-// The uses.
+// Effects of signals.
 const (
-	// Stop begins a planned stop.
-	Stop Use = "stop"
-	// Reload looks at the settings.
-	Reload Use = "reload"
-	// None changes nothing: the signal has no use, or a stop was under way already.
-	None Use = "none"
+	// Stop starts a planned stop.
+	Stop Effect = "stop"
+	// Reload requests that the settings be read again.
+	Reload Effect = "reload"
+	// None means no effect: the signal is unhandled, or a stop is in progress already.
+	None Effect = "none"
 )
 
-// Signaler hands signals on to the parts of a process. It is safe for concurrent use.
+// Signaler forwards signals to the components of a process. It is safe for concurrent
+// use.
 type Signaler struct {
-	tell  func(s os.Signal, u Use)
-	stop  chan struct{}
-	hangs chan struct{}
-	total atomic.Int64
+	notify  func(s os.Signal, u Effect)
+	stop    chan struct{}
+	hangUps chan struct{}
+	total   atomic.Int64
 }
 
-// New returns a Signaler that tells of each signal and its use, and its clean-up
-// function, after which signals are still taken and do nothing. One process has one at
-// a time.
-func New(tell func(s os.Signal, u Use)) (*Signaler, func()) {
-	s := &Signaler{tell: tell, stop: make(chan struct{}), hangs: make(chan struct{}, 1)}
+// New returns a Signaler that reports each signal and its effect to notify, and its
+// clean-up function. After clean-up, signals are still captured but have no effect. A
+// process must not have more than one Signaler at a time.
+func New(notify func(s os.Signal, u Effect)) (*Signaler, func()) {
+	s := &Signaler{notify: notify, stop: make(chan struct{}), hangUps: make(chan struct{}, 1)}
 	end := make(chan struct{})
 
 	var g sync.WaitGroup
@@ -119,13 +121,14 @@
 	}
 }
 
-// Stopping returns a channel that is closed when the process is to stop as planned.
+// Stopping returns a channel that is closed when a signal requests a planned stop.
 func (s *Signaler) Stopping() <-chan struct{} { return s.stop }
 
-// HangUps returns a channel that has an element when the settings may have changed.
-func (s *Signaler) HangUps() <-chan struct{} { return s.hangs }
+// Reloads returns a channel that receives an element when a signal requests a reload of
+// the settings. Requests that are not read yet are merged into one.
+func (s *Signaler) Reloads() <-chan struct{} { return s.hangUps }
 
-// Total returns how many signals were taken.
+// Total returns the number of signals received since New.
 func (s *Signaler) Total() int64 { return s.total.Load() }
 
 func (s *Signaler) run(i *inbox, end <-chan struct{}) {
@@ -142,19 +145,19 @@
 				stopping, u = true, Stop
 				close(s.stop)
 			}
-		case x = <-i.hangs:
+		case x = <-i.hangUps:
 			u = Reload
 
 			select {
-			case s.hangs <- struct{}{}:
-			default: // A look is due already.
+			case s.hangUps <- struct{}{}:
+			default: // A reload is pending already.
 			}
-		case x = <-i.others:
+		case x = <-i.unhandled:
 		case <-end:
 			return
 		}
 
 		s.total.Add(1)
-		s.tell(x, u)
+		s.notify(x, u)
 	}
 }
--- a/internal/signaler/signaler_test.go
+++ b/internal/signaler/signaler_test.go
@@ -13,28 +13,28 @@
 	"github.com/auburntray/auburntray/internal/standin/waiter"
 )
 
-// told notes what was told of signals.
-type told struct {
+// signalLog records the reported signals and their effects.
+type signalLog struct {
 	mu   sync.Mutex
 	list []string
 }
 
-func (l *told) tell(s os.Signal, u signaler.Use) {
+func (l *signalLog) record(s os.Signal, u signaler.Effect) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
 	l.list = append(l.list, s.String()+" "+string(u))
 }
 
-func (l *told) all() []string {
+func (l *signalLog) all() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
 	return append([]string(nil), l.list...)
 }
 
-// send sends signals to this process, each after the one before it was told of.
-func send(t *testing.T, l *told, s ...syscall.Signal) {
+// send sends signals to this process, and waits until each is reported before it sends the next.
+func send(t *testing.T, l *signalLog, s ...syscall.Signal) {
 	t.Helper()
 
 	for _, x := range s {
@@ -47,47 +47,47 @@
 	}
 }
 
-// What a signal does at each moment: the first TERM or INT stops, HUP asks for a look at
-// the settings also during the stop, and nothing else has a use.
-func TestUses(t *testing.T) {
+// The first SIGTERM or SIGINT starts a stop, SIGHUP requests a reload also during a stop, and no
+// other signal has an effect.
+func TestEffects(t *testing.T) {
 	tests := map[string]struct {
 		send    []syscall.Signal
 		want    []string
 		stopped bool
-		hung    bool
+		reload  bool
 	}{
-		"a hang-up":               {send: []syscall.Signal{syscall.SIGHUP}, want: []string{"hangup reload"}, hung: true},
-		"two of them":             {send: []syscall.Signal{syscall.SIGHUP, syscall.SIGHUP}, want: []string{"hangup reload", "hangup reload"}, hung: true},
-		"a stop":                  {send: []syscall.Signal{syscall.SIGTERM}, want: []string{"terminated stop"}, stopped: true},
-		"an interrupt":            {send: []syscall.Signal{syscall.SIGINT}, want: []string{"interrupt stop"}, stopped: true},
-		"a stop, twice":           {send: []syscall.Signal{syscall.SIGTERM, syscall.SIGINT}, want: []string{"terminated stop", "interrupt none"}, stopped: true},
-		"a hang-up during a stop": {send: []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP}, want: []string{"terminated stop", "hangup reload"}, stopped: true, hung: true},
-		"without a use":           {send: []syscall.Signal{syscall.SIGUSR1, syscall.SIGUSR2, syscall.SIGALRM, syscall.SIGQUIT}, want: []string{"user defined signal 1 none", "user defined signal 2 none", "alarm clock none", "quit none"}},
+		"SIGHUP":               {send: []syscall.Signal{syscall.SIGHUP}, want: []string{"hangup reload"}, reload: true},
+		"SIGHUP twice":         {send: []syscall.Signal{syscall.SIGHUP, syscall.SIGHUP}, want: []string{"hangup reload", "hangup reload"}, reload: true},
+		"SIGTERM":              {send: []syscall.Signal{syscall.SIGTERM}, want: []string{"terminated stop"}, stopped: true},
+		"SIGINT":               {send: []syscall.Signal{syscall.SIGINT}, want: []string{"interrupt stop"}, stopped: true},
+		"SIGINT during a stop": {send: []syscall.Signal{syscall.SIGTERM, syscall.SIGINT}, want: []string{"terminated stop", "interrupt none"}, stopped: true},
+		"SIGHUP during a stop": {send: []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP}, want: []string{"terminated stop", "hangup reload"}, stopped: true, reload: true},
+		"unhandled signals":    {send: []syscall.Signal{syscall.SIGUSR1, syscall.SIGUSR2, syscall.SIGALRM, syscall.SIGQUIT}, want: []string{"user defined signal 1 none", "user defined signal 2 none", "alarm clock none", "quit none"}},
 	}
 	for name, x := range tests {
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
 
-			var l told
+			var l signalLog
 
-			s, end := signaler.New(l.tell)
+			s, end := signaler.New(l.record)
 			defer end()
 
 			send(t, &l, x.send...)
 			i.Equal(l.all(), x.want)
 			i.Equal(s.Total(), int64(len(x.want)))
-			i.Equal(isThere(s.Stopping()), x.stopped)
-			i.Equal(isThere(s.HangUps()), x.hung)
+			i.Equal(isReady(s.Stopping()), x.stopped)
+			i.Equal(isReady(s.Reloads()), x.reload)
 		})
 	}
 }
 
-// A process that has ended its parts is told once more of changed settings, or to stop,
-// as it writes its last lines. That ended it with the signal's code.
-func TestSignalsAfterTheEndOfAllParts(t *testing.T) {
-	var l told
+// Guards against a signal that ends the process with the signal's exit code after its components have
+// stopped, while it writes its last log lines.
+func TestSignalsAfterCleanUp(t *testing.T) {
+	var l signalLog
 
-	_, end := signaler.New(l.tell)
+	_, end := signaler.New(l.record)
 	end()
 
 	for _, x := range []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGPIPE, syscall.SIGUSR1} {
@@ -97,15 +97,15 @@
 	time.Sleep(50 * time.Millisecond)
 	is.New(t).Equal(len(l.all()), 0)
 
-	// Those that waited are not lost: a process is told of what came as it began.
-	s, end := signaler.New(l.tell)
+	// Buffered signals are not lost: a new Signaler reports those that arrived before it.
+	s, end := signaler.New(l.record)
 	defer end()
 
 	<-s.Stopping()
-	<-s.HangUps()
+	<-s.Reloads()
 }
 
-func isThere(c <-chan struct{}) bool {
+func isReady(c <-chan struct{}) bool {
 	select {
 	case <-c:
 		return true
--- a/internal/standin/commander/commander.go
+++ b/internal/standin/commander/commander.go
@@ -190,7 +190,7 @@
 // waits for leaveGrace; it returns when the last request has completed or after
 // stopTimeout. It fails with ErrListen if it cannot listen.
 func serve(c context.Context, a netip.AddrPort, h http.Handler, leave func()) error {
-	y, end := signaler.New(func(s os.Signal, u signaler.Use) {
+	y, end := signaler.New(func(s os.Signal, u signaler.Effect) {
 		logrus.WithFields(logrus.Fields{"event": "signalTaken", "signal": s, "use": u}).Info()
 	})
 	defer end()
