--- a/internal/advertiser/advertiser.go
+++ b/internal/advertiser/advertiser.go
@@ -34,7 +34,7 @@
 )
 
 // kinds are the message kinds of updates.
-var kinds = broadcaster.Kinds{Direct: wire.KindNews, Relay: wire.KindRelay} //nolint:gochecknoglobals // A constant.
+var kinds = broadcaster.Kinds{Direct: wire.KindUpdate, Relay: wire.KindUpdateRelay} //nolint:gochecknoglobals // A constant.
 
 // TargetState is what this instance knows of targets.
 type TargetState interface {
@@ -75,7 +75,7 @@
 
 // HandleUpdate applies an update of another instance. It fails with ErrUpdate.
 func (i *Advertiser) HandleUpdate(_ context.Context, _ uint64, body []byte) (msgp.Marshaler, error) {
-	var w wire.News
+	var w wire.Update
 	if _, err := w.UnmarshalMsg(body); err != nil {
 		return nil, errors.Mark(err, ErrUpdate)
 	}
@@ -181,14 +181,14 @@
 
 	b := time.Now()
 
-	var w wire.News
+	var w wire.Update
 
 	for _, p := range n.Placements[:min(len(n.Placements), maxEntries)] {
 		w.Holders = append(w.Holders, wire.Holder{Key: p.Key, Target: uint32(p.Target)})
 	}
 
 	for _, x := range n.Loads[:min(len(n.Loads), maxEntries)] {
-		w.Loads = append(w.Loads, wire.Load{
+		w.Loads = append(w.Loads, wire.LoadReport{
 			Target: uint32(x.Target), Calls: uint32(max(x.Calls, 0)), AgeMs: uint32(b.Sub(x.At).Milliseconds()), //nolint:gosec // Within uint32.
 		})
 	}
--- a/internal/advertiser/advertiser_test.go
+++ b/internal/advertiser/advertiser_test.go
@@ -115,7 +115,7 @@
 		_, err = x.HandleGone(c, v.Self().ID, b)
 	case wire.KindLeaving:
 		_, err = x.HandleLeaving(c, v.Self().ID, b)
-	case wire.KindRelay:
+	case wire.KindUpdateRelay:
 		_, err = x.HandleRelay(c, v.Self().ID, b)
 	default:
 		_, err = x.HandleUpdate(c, v.Self().ID, b)
--- a/internal/bencher/exchange.go
+++ b/internal/bencher/exchange.go
@@ -97,10 +97,10 @@
 		m := wire.HandOver{Cell: c.ID}
 		for _, p := range h.granter(c, w.routers[i].id).ChangedPlacements(128, 16) { //nolint:mnd // As in the routers.
 			h.granter(c, w.routers[j].id).RecordPlacement(epoch.Add(w.now), p.Chat, p.Placement)
-			m.Places = append(m.Places, wire.Place{Chat: p.Chat, Target: p.Target, Tokens: uint32(p.Tokens)}) //nolint:gosec // Not negative.
+			m.Placements = append(m.Placements, wire.Placement{Chat: p.Chat, Target: p.Target, Tokens: uint32(p.Tokens)}) //nolint:gosec // Not negative.
 		}
 
-		if len(m.Places) > 0 {
+		if len(m.Placements) > 0 {
 			h.countBytes(w, i, j, wire.KindHandOver, 0, &m)
 		}
 	}
@@ -149,5 +149,5 @@
 	l, x := h.granter(from, w.routers[i].id).CellLoad(epoch.Add(w.now))
 
 	h.granter(to, w.routers[j].id).ReportCell(epoch.Add(w.now), from.ID, l, x)
-	h.countBytes(w, i, j, wire.KindCellLoad, 0, &wire.CellLoad{From: from.ID, To: to.ID, Milli: uint64(l * skewUnit), Weight: uint32(x)})
+	h.countBytes(w, i, j, wire.KindCellLoad, 0, &wire.CellLoad{From: from.ID, To: to.ID, MilliRequests: uint64(l * skewUnit), Weight: uint32(x)})
 }
--- a/internal/bencher/home_policy.go
+++ b/internal/bencher/home_policy.go
@@ -138,9 +138,9 @@
 	}
 
 	h.seq++
-	a := wire.Ask{
+	a := wire.SlotRequest{
 		Seq: h.seq, Cell: c.ID, Rule: h.rules[q.chat.customer.model].ID, Customer: q.chat.customer.id,
-		Chat: q.chat.key, Prompt: uint32(q.prompt), Hint: hint, WaitedMs: uint32(q.waited.Milliseconds()), Sent: forwarded, //nolint:gosec // Not negative.
+		Chat: q.chat.key, Prompt: uint32(q.prompt), Hint: hint, WaitedMs: uint32(q.waited.Milliseconds()), Forwarded: forwarded, //nolint:gosec // Not negative.
 	}
 	v := h.granter(c, w.routers[i].id).Reserve(epoch.Add(w.now), granter.Request{
 		ID: granter.ID{Entry: r.id, Seq: a.Seq}, Chat: a.Chat, Customer: a.Customer, Weight: 1,
@@ -148,8 +148,8 @@
 		Allowed: func(id uint32) bool { return w.reachable(r, h.targetByID[id]) },
 	})
 
-	h.countBytes(w, q.router, i, wire.KindAsk, 1, &a)
-	h.countBytes(w, q.router, i, wire.KindReply, 1, &wire.Verdict{
+	h.countBytes(w, q.router, i, wire.KindSlotRequest, 1, &a)
+	h.countBytes(w, q.router, i, wire.KindReply, 1, &wire.SlotReply{
 		Reason: uint8(v.Reason), Target: v.Target | v.Cell, Flags: flags(v), RetryAfterMs: uint32(v.RetryAfter.Milliseconds()), //nolint:gosec // Small.
 	})
 
@@ -167,7 +167,7 @@
 
 func flags(v granter.Verdict) uint8 {
 	if v.ReportDue {
-		return wire.FlagTell
+		return wire.FlagReportDue
 	}
 
 	return wire.FlagReturned
--- a/internal/commander/bench.go
+++ b/internal/commander/bench.go
@@ -21,9 +21,9 @@
 		Short: "Measure the routing policy and its baselines at the users' sizes and the design size",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			s := slices.DeleteFunc(bencher.Sizes(), func(x bencher.Size) bool { return !named(sizes, x.Name) })
-			d := slices.DeleteFunc(bencher.Conditions(), func(x bencher.Condition) bool { return !named(conditions, string(x)) })
-			p := slices.DeleteFunc(bencher.Policies(), func(x string) bool { return !named(policies, x) })
+			s := slices.DeleteFunc(bencher.Sizes(), func(x bencher.Size) bool { return !includes(sizes, x.Name) })
+			d := slices.DeleteFunc(bencher.Conditions(), func(x bencher.Condition) bool { return !includes(conditions, string(x)) })
+			p := slices.DeleteFunc(bencher.Policies(), func(x string) bool { return !includes(policies, x) })
 
 			return bencher.Run(s, d, p, seed, func(r *bencher.Result) {
 				_, _ = fmt.Fprintln(c.OutOrStdout(), r.Line())
@@ -32,14 +32,14 @@
 	}
 
 	c.Flags().Uint64Var(&seed, "seed", 1, "seed of the traffic")
-	c.Flags().StringVar(&sizes, "sizes", "", "sizes with commas between them; empty means all")
-	c.Flags().StringVar(&conditions, "conditions", "", "conditions with commas between them; empty means all")
-	c.Flags().StringVar(&policies, "policies", "", "policies with commas between them; empty means all")
+	c.Flags().StringVar(&sizes, "sizes", "", "comma-separated sizes; empty means all")
+	c.Flags().StringVar(&conditions, "conditions", "", "comma-separated conditions; empty means all")
+	c.Flags().StringVar(&policies, "policies", "", "comma-separated policies; empty means all")
 
 	return c
 }
 
-// named says that a list with commas names something; an empty list names all.
-func named(list, name string) bool {
+// includes reports whether a comma-separated list contains a name. An empty list contains all.
+func includes(list, name string) bool {
 	return list == "" || slices.Contains(strings.Split(list, ","), name)
 }
--- a/internal/commander/errors.go
+++ b/internal/commander/errors.go
@@ -3,8 +3,8 @@
 import "github.com/cockroachdb/errors"
 
 var (
-	// ErrUsage means that the command line asks for something impossible.
+	// ErrUsage means that the command line or a file that it names is invalid.
 	ErrUsage = errors.New("the command line is not valid")
-	// ErrNotDone means that the command ran and did not do what was asked.
+	// ErrNotDone means that the command ran without the requested effect.
 	ErrNotDone = errors.New("not done")
 )
--- a/internal/commander/evacuations.go
+++ b/internal/commander/evacuations.go
@@ -13,7 +13,7 @@
 	"github.com/auburntray/auburntray/internal/wire"
 )
 
-// newEvacuations returns the command that shows which data centres are evacuated.
+// newEvacuations returns the command that lists the evacuated data centres.
 func newEvacuations() *cobra.Command {
 	var (
 		peer   netip.AddrPort
@@ -23,24 +23,24 @@
 	t := peerTable(&peer)
 
 	c := &cobra.Command{
-		Use: "evacuations", Short: "Show which data centres are evacuated, and what still runs there", Args: cobra.NoArgs,
+		Use: "evacuations", Short: "Show which data centres are evacuated, and how many calls still run there", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if err := t.Read(c.Flags()); err != nil {
 				return err
 			}
 
-			return ask(c.Context(), func(x context.Context, m *messenger.Messenger) error {
+			return withMessenger(c.Context(), func(x context.Context, m *messenger.Messenger) error {
 				return showEvacuations(x, c.OutOrStdout(), m, peer, centre)
 			})
 		},
 	}
 	t.AddFlags(c.Flags())
-	c.Flags().StringVar(&centre, "data-centre", "", "the data centre to ask about; empty asks about all")
+	c.Flags().StringVar(&centre, "data-centre", "", "the data centre to show; empty shows all")
 
 	return c
 }
 
-// showEvacuations prints a line for each evacuation.
+// showEvacuations prints one line for each evacuated data centre.
 func showEvacuations(c context.Context, w io.Writer, m *messenger.Messenger, peer netip.AddrPort, centre string) error {
 	var r wire.EvacuationsReply
 	if err := m.Call(c, peer, wire.KindEvacuations, &wire.EvacuationsRequest{DataCentre: centre}, &r); err != nil {
@@ -53,7 +53,7 @@
 
 	for _, e := range r.Evacuations {
 		d := (time.Duration(e.AgeMs) * time.Millisecond).Round(time.Second) //nolint:gosec // Below centuries.
-		_, _ = fmt.Fprintf(w, "dataCentre=%s known=%v targets=%d runningOfIts=%d runningOfAll=%d\n", e.DataCentre, d, e.Targets, e.Own, e.All)
+		_, _ = fmt.Fprintf(w, "dataCentre=%s known=%v targets=%d runningOfIts=%d runningOfAll=%d\n", e.DataCentre, d, e.Targets, e.OwnCalls, e.AllCalls)
 	}
 
 	return nil
--- a/internal/commander/evacuations_test.go
+++ b/internal/commander/evacuations_test.go
@@ -14,7 +14,8 @@
 	"github.com/auburntray/auburntray/internal/wire"
 )
 
-// Guards against an operator who can't see whether a data centre may be switched off.
+// Guards against operators who cannot see whether a data centre may be switched off: the command shows
+// which data centres are evacuated and how many calls still run there.
 func TestShowEvacuations(t *testing.T) {
 	for name, x := range map[string]struct {
 		known []wire.Evacuation
@@ -22,7 +23,7 @@
 	}{
 		"none": {want: "no data centre is evacuated\n"},
 		"two": {
-			known: []wire.Evacuation{{DataCentre: "a", AgeMs: 61400, Targets: 15, Own: 1, All: 7}, {DataCentre: "b", Targets: 2}},
+			known: []wire.Evacuation{{DataCentre: "a", AgeMs: 61400, Targets: 15, OwnCalls: 1, AllCalls: 7}, {DataCentre: "b", Targets: 2}},
 			want: "dataCentre=a known=1m1s targets=15 runningOfIts=1 runningOfAll=7\n" +
 				"dataCentre=b known=0s targets=2 runningOfIts=0 runningOfAll=0\n",
 		},
@@ -41,7 +42,7 @@
 
 			var o bytes.Buffer
 
-			i.NoErr(ask(t.Context(), func(c context.Context, k *messenger.Messenger) error {
+			i.NoErr(withMessenger(t.Context(), func(c context.Context, k *messenger.Messenger) error {
 				return showEvacuations(c, &o, k, m.Address(), "")
 			}))
 			i.Equal(o.String(), x.want)
--- a/internal/commander/explain.go
+++ b/internal/commander/explain.go
@@ -31,7 +31,7 @@
 
 			n, err := e.Write(c.OutOrStdout())
 			if err == nil && n == 0 {
-				err = errors.Mark(errors.Newf("no line is about the call %q", a[0]), ErrUsage)
+				err = errors.Mark(errors.Newf("no log line mentions the call %q", a[0]), ErrUsage)
 			}
 
 			return err
--- a/internal/commander/gateway.go
+++ b/internal/commander/gateway.go
@@ -36,12 +36,12 @@
 		},
 	}
 
-	c.Flags().Uint16Var(&metricsPort, "metrics-port", 0, "serve counts at /metrics on this port; 0 serves none")
+	c.Flags().Uint16Var(&metricsPort, "metrics-port", 0, "serve metrics at /metrics on this port; 0 serves none")
 
 	return c
 }
 
-// runPlatform runs a gateway with the settings file at a path.
+// runPlatform runs a gateway with the settings file at the given path, until it receives a signal to stop.
 func runPlatform(c context.Context, path string, metricsPort uint16) error {
 	l, flush, err := setUpLogger("info", os.Stdout)
 	if err != nil {
@@ -58,7 +58,7 @@
 	return serve(x.Stopping(), func() (*fx.App, error) { return newGateway(c, path, metricsPort, l, x) })
 }
 
-// newGateway puts a gateway together. Its settings are read again until the context ends.
+// newGateway builds a gateway. Its settings are reloaded until the context is done.
 func newGateway(c context.Context, path string, metricsPort uint16, l *logger.Logger, x *signaler.Signaler) (*fx.App, error) {
 	s, b, err := platform.ReadSettings(path)
 	if err != nil {
@@ -86,20 +86,21 @@
 	m.RegisterGauge("log_lines_dropped_total", func() float64 { return float64(l.Dropped()) })
 	m.RegisterGauge("log_lines_failed_total", func() float64 { return float64(l.Failed()) })
 
-	go reloader.New(path, b, x.Reloads(), func(b []byte) error { return retune(b, y, g, t) }).Run(c)
+	go reloader.New(path, b, x.Reloads(), func(b []byte) error { return applySettings(b, y, g, t) }).Run(c)
 
 	return a, nil
 }
 
-// retune puts in force what may change in a settings file, and tells what may not.
-func retune(b []byte, started gatekeeper.Settings, g *gatekeeper.Gatekeeper, t *platform.Store) error {
+// applySettings applies the settings that may change at run time, and logs the changed ones that take a
+// restart. It fails when the file cannot be parsed.
+func applySettings(b []byte, started gatekeeper.Settings, g *gatekeeper.Gatekeeper, t *platform.Store) error {
 	s, err := platform.ParseSettings(b)
 	if err != nil {
 		return err
 	}
 
 	x := gatewaySettings(s)
-	if l := fixed(started, x); len(l) > 0 {
+	if l := restartSettings(started, x); len(l) > 0 {
 		logrus.WithFields(logrus.Fields{"event": "restartNeeded", "settings": strings.Join(l, ",")}).Warn()
 	}
 
@@ -109,8 +110,8 @@
 	return nil
 }
 
-// fixed names the settings that differ and take a restart.
-func fixed(a, b gatekeeper.Settings) []string {
+// restartSettings returns the names of the settings that differ and take effect only after a restart.
+func restartSettings(a, b gatekeeper.Settings) []string {
 	var o []string
 
 	for _, f := range []struct {
--- a/internal/commander/gateway_test.go
+++ b/internal/commander/gateway_test.go
@@ -20,8 +20,9 @@
 	"github.com/auburntray/auburntray/platform/standin"
 )
 
-// asked is a store that turns everybody away and says whether it was asked.
-func asked(t *testing.T) (address string, was func() bool) {
+// newStore starts a store that refuses all requests, and returns its address and a function that reports
+// whether it has received one.
+func newStore(t *testing.T) (address string, requested func() bool) {
 	t.Helper()
 
 	var n atomic.Int64
@@ -35,16 +36,15 @@
 	return strings.TrimPrefix(x.URL, "http://"), func() bool { return n.Load() > 0 }
 }
 
-// The platform takes an instance away, tells the others their new seeds, and sends
-// each SIGHUP. The signal ended the processes: with one instance left, nobody served
-// until it had started again, and every stream was cut. The process goes on, with
-// the new settings in force.
-func TestHangUpEndsNothing(t *testing.T) {
+// Guards against an outage when the platform removes an instance, writes the new seeds
+// to the settings of the others and sends them SIGHUP: the signal terminated the processes,
+// which broke all streams. They must continue, with the new settings in force.
+func TestHangUpReloadsSettings(t *testing.T) {
 	i := is.New(t)
 	p := filepath.Join(t.TempDir(), "settings.toml")
 	front, ready, control := porter.Free(t), porter.Free(t), porter.Free(t)
-	first, askedFirst := asked(t)
-	second, askedSecond := asked(t)
+	first, requestedFirst := newStore(t)
+	second, requestedSecond := newStore(t)
 
 	write := func(store string) {
 		i.NoErr(os.WriteFile(p, standin.Settings(front, ready, control, store), 0o600))
@@ -55,20 +55,20 @@
 
 	go func() { done <- runPlatform(t.Context(), p, 0) }()
 
-	waiter.Until(t, "a read of the first store", askedFirst)
+	waiter.Until(t, "a read of the first store", requestedFirst)
 
 	self, err := os.FindProcess(os.Getpid())
 	i.NoErr(err)
 	write(second)
 	i.NoErr(self.Signal(syscall.SIGHUP))
-	waiter.Until(t, "a read of the second store", askedSecond)
+	waiter.Until(t, "a read of the second store", requestedSecond)
 
-	// The planned stop still works.
+	// SIGTERM still stops the process as planned.
 	i.NoErr(self.Signal(syscall.SIGTERM))
 	i.NoErr(<-done)
 }
 
-func TestSettingsThatTakeARestart(t *testing.T) {
+func TestRestartSettings(t *testing.T) {
 	a := gatekeeper.Settings{Name: "front-1", DataCentre: "a", Region: "r", Callers: netip.MustParseAddrPort("127.0.0.1:1")}
 
 	tests := map[string]struct {
@@ -76,9 +76,9 @@
 		want   string
 	}{
 		"nothing":     {change: func(*gatekeeper.Settings) {}},
-		"a tunable":   {change: func(s *gatekeeper.Settings) { s.StopTimeout = time.Second }},
+		"tunable":     {change: func(s *gatekeeper.Settings) { s.StopTimeout = time.Second }},
 		"data centre": {change: func(s *gatekeeper.Settings) { s.DataCentre = "b" }, want: "dataCentre"},
-		"two": {change: func(s *gatekeeper.Settings) {
+		"two settings": {change: func(s *gatekeeper.Settings) {
 			s.Name, s.Callers = "front-2", netip.MustParseAddrPort("127.0.0.1:2")
 		}, want: "name,callers"},
 	}
@@ -86,7 +86,7 @@
 		t.Run(name, func(t *testing.T) {
 			b := a
 			x.change(&b)
-			is.New(t).Equal(strings.Join(fixed(a, b), ","), x.want)
+			is.New(t).Equal(strings.Join(restartSettings(a, b), ","), x.want)
 		})
 	}
 }
--- a/internal/commander/load.go
+++ b/internal/commander/load.go
@@ -14,7 +14,7 @@
 	"github.com/auburntray/auburntray/internal/resolver"
 )
 
-// load are the settings of the load command.
+// load holds the settings of the load command.
 type load struct {
 	driver.Settings
 
@@ -25,18 +25,18 @@
 
 func (l *load) table() resolver.Table {
 	return resolver.Table{
-		{Name: "addresses", Default: "127.0.0.1:8080", Allowed: "loopback addresses with commas between them", Help: "routers to send to, in turn", Read: resolver.Addresses(&l.Addresses)},
-		{Name: "duration", Default: "10s", Allowed: "1s to 10m", Help: "how long calls are started", Read: resolver.Duration(&l.Duration, time.Second, 10*time.Minute)},
-		{Name: "rate", Default: "50", Allowed: "1 to 10000", Help: "calls started a second", Read: resolver.Int(&l.Rate, 1, 10000)},
-		{Name: "chats", Default: "200", Allowed: "0 to 1000000", Help: "chats that return in turn", Read: resolver.Int(&l.Chats, 0, 1000000)},
-		{Name: "customers", Default: "member-1,member-2,member-3", Allowed: "names with commas between them", Help: "customers of the chats", Read: resolver.Free(&l.customers)},
+		{Name: "addresses", Default: "127.0.0.1:8080", Allowed: "comma-separated loopback addresses", Help: "routers to send calls to, round-robin", Read: resolver.Addresses(&l.Addresses)},
+		{Name: "duration", Default: "10s", Allowed: "1s to 10m", Help: "time during which calls are started", Read: resolver.Duration(&l.Duration, time.Second, 10*time.Minute)},
+		{Name: "rate", Default: "50", Allowed: "1 to 10000", Help: "calls started per second", Read: resolver.Int(&l.Rate, 1, 10000)},
+		{Name: "chats", Default: "200", Allowed: "0 to 1000000", Help: "number of chats, which are continued in turn", Read: resolver.Int(&l.Chats, 0, 1000000)},
+		{Name: "customers", Default: "member-1,member-2,member-3", Allowed: "comma-separated names", Help: "customers of the chats", Read: resolver.AnyText(&l.customers)},
 		{Name: "model", Default: "restock", Allowed: "1 to 63 bytes", Help: "model of the chats", Read: resolver.Text(&l.Model)},
-		{Name: "tokens", Default: "40", Allowed: "1 to 4096", Help: "longest answer asked for", Read: resolver.Int(&l.Tokens, 1, 4096)},
-		{Name: "booking-part", Default: "0.2", Allowed: "0 to 1", Help: "part of the calls that are bookings", Read: resolver.Float(&l.BookingFraction, 0, 1)},
-		{Name: "repeat-part", Default: "0.1", Allowed: "0 to 1", Help: "part of the bookings that are sent twice at once", Read: resolver.Float(&l.DuplicateFraction, 0, 1)},
-		{Name: "call-deadline", Default: "20s", Allowed: "1s to 10m", Help: "how long a caller waits", Read: resolver.Duration(&l.Deadline, time.Second, 10*time.Minute)},
+		{Name: "tokens", Default: "40", Allowed: "1 to 4096", Help: "maximum number of tokens of an answer", Read: resolver.Int(&l.Tokens, 1, 4096)},
+		{Name: "booking-part", Default: "0.2", Allowed: "0 to 1", Help: "fraction of the calls that are bookings", Read: resolver.Float(&l.BookingFraction, 0, 1)},
+		{Name: "repeat-part", Default: "0.1", Allowed: "0 to 1", Help: "fraction of the bookings that are sent twice concurrently", Read: resolver.Float(&l.DuplicateFraction, 0, 1)},
+		{Name: "call-deadline", Default: "20s", Allowed: "1s to 10m", Help: "time that a caller waits for an answer", Read: resolver.Duration(&l.Deadline, time.Second, 10*time.Minute)},
 		{Name: "seed", Default: "1", Allowed: "0 to 2147483647", Help: "seed of the load", Read: resolver.Int(&l.seed, 0, 1<<31-1)},
-		{Name: "output", Default: "", Allowed: "a file's name, or empty", Help: "where the result goes as JSON", Read: resolver.Free(&l.output)},
+		{Name: "output", Default: "", Allowed: "a file's name, or empty", Help: "file to which the result is written as JSON", Read: resolver.AnyText(&l.output)},
 	}
 }
 
@@ -46,7 +46,7 @@
 	t := l.table()
 	c := &cobra.Command{
 		Use:   "load",
-		Short: "Send a bounded load at a fleet on this machine and check every answer",
+		Short: "Send a bounded load to a fleet on this machine and check every answer",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if err := t.Read(c.Flags()); err != nil {
@@ -64,7 +64,7 @@
 
 func (l *load) run(c *cobra.Command) error {
 	l.Customers = strings.Split(l.customers, ",")
-	l.Seed = uint64(l.seed) //nolint:gosec // Not negative by its bounds.
+	l.Seed = uint64(l.seed) //nolint:gosec // Its bounds exclude negative values.
 	l.Progress = c.ErrOrStderr()
 
 	d, err := driver.New(l.Settings)
--- a/internal/commander/operate.go
+++ b/internal/commander/operate.go
@@ -21,11 +21,11 @@
 
 const operateTimeout = 20 * time.Second
 
-// operator are the settings of the operator's commands.
+// operator holds the settings of the commands that use a publisher.
 type operator struct {
-	platform netip.AddrPort
-	centre   string
-	author   string
+	platform   netip.AddrPort
+	dataCentre string
+	author     string
 }
 
 func (o *operator) table() resolver.Table {
@@ -36,15 +36,16 @@
 		},
 		{
 			Name: "data-centre", Default: "operators", Allowed: "1 to 63 bytes",
-			Help: "data centre that the command runs in", Read: resolver.Text(&o.centre),
+			Help: "data centre that the command runs in", Read: resolver.Text(&o.dataCentre),
 		},
 		{
 			Name: "author", Default: login(), Allowed: "1 to 63 bytes",
-			Help: "who makes the change", Read: resolver.Text(&o.author),
+			Help: "name that is recorded as the author of a change", Read: resolver.Text(&o.author),
 		},
 	}
 }
 
+// login returns the name of the user who runs the command, or "operator" when it is unknown.
 func login() string {
 	u, err := user.Current()
 	if err != nil || u.Username == "" {
@@ -54,8 +55,8 @@
 	return u.Username
 }
 
-// operate returns a command that works with a publisher.
-func operate(use, short string, args cobra.PositionalArgs, f func(c *cobra.Command, p *publisher.Publisher, o *operator, a []string) error) *cobra.Command {
+// newOperatorCommand returns a command that calls a function with a publisher.
+func newOperatorCommand(use, short string, args cobra.PositionalArgs, f func(c *cobra.Command, p *publisher.Publisher, o *operator, a []string) error) *cobra.Command {
 	var o operator
 
 	t := o.table()
@@ -66,7 +67,7 @@
 				return err
 			}
 
-			p, stop := publisher.New(o.platform, o.centre)
+			p, stop := publisher.New(o.platform, o.dataCentre)
 			defer stop()
 
 			return f(c, p, &o, a)
@@ -84,7 +85,7 @@
 		asJSON bool
 	)
 
-	c := operate("publish FILE", "Publish a document based on a revision", cobra.ExactArgs(1),
+	c := newOperatorCommand("publish FILE", "Publish a document based on a revision", cobra.ExactArgs(1),
 		func(c *cobra.Command, p *publisher.Publisher, o *operator, a []string) error {
 			b, err := readFile(c.InOrStdin(), a[0])
 			if err != nil {
@@ -102,11 +103,11 @@
 				return err
 			}
 
-			return report(c.OutOrStdout(), v, asJSON)
+			return printResult(c.OutOrStdout(), v, asJSON)
 		})
 	c.Flags().Uint64Var(&r.Base, "base", 0, "revision that the document was made from; show prints it")
 	c.Flags().StringVar(&r.ID, "id", "", "id of a publication whose outcome was unknown")
-	c.Flags().BoolVar(&r.DryRun, "dry-run", false, "check and show the difference, change nothing")
+	c.Flags().BoolVar(&r.DryRun, "dry-run", false, "validate the document and show the differences without publishing")
 	c.Flags().BoolVar(&asJSON, "json", false, "print the result as JSON")
 
 	return c
@@ -115,7 +116,7 @@
 func newDrain() *cobra.Command {
 	var undo bool
 
-	c := operate("drain TARGET", "Take a target out of service for new work", cobra.ExactArgs(1),
+	c := newOperatorCommand("drain TARGET", "Take a target out of service for new work", cobra.ExactArgs(1),
 		func(c *cobra.Command, p *publisher.Publisher, o *operator, a []string) error {
 			x, stop := context.WithTimeout(c.Context(), operateTimeout)
 			defer stop()
@@ -125,7 +126,7 @@
 				return err
 			}
 
-			return report(c.OutOrStdout(), v, false)
+			return printResult(c.OutOrStdout(), v, false)
 		})
 	c.Flags().BoolVar(&undo, "undo", false, "put the target back into service")
 
@@ -135,7 +136,7 @@
 func newShow() *cobra.Command {
 	var document bool
 
-	c := operate("show", "Show the configuration in force", cobra.NoArgs,
+	c := newOperatorCommand("show", "Show the configuration in force", cobra.NoArgs,
 		func(c *cobra.Command, p *publisher.Publisher, _ *operator, _ []string) error {
 			x, stop := context.WithTimeout(c.Context(), operateTimeout)
 			defer stop()
@@ -157,13 +158,13 @@
 
 			return err
 		})
-	c.Flags().BoolVar(&document, "document", false, "print the document only, for editing")
+	c.Flags().BoolVar(&document, "document", false, "print only the document, for editing")
 
 	return c
 }
 
 func newHistory() *cobra.Command {
-	return operate("history", "Show past publications and what became of them", cobra.NoArgs,
+	return newOperatorCommand("history", "Show past publications and their outcomes", cobra.NoArgs,
 		func(c *cobra.Command, p *publisher.Publisher, _ *operator, _ []string) error {
 			x, stop := context.WithTimeout(c.Context(), operateTimeout)
 			defer stop()
@@ -186,7 +187,7 @@
 }
 
 func newWatch() *cobra.Command {
-	return operate("watch", "Print each configuration as it comes into force, until interrupted", cobra.NoArgs,
+	return newOperatorCommand("watch", "Print each configuration as it comes into force, until interrupted", cobra.NoArgs,
 		func(c *cobra.Command, p *publisher.Publisher, _ *operator, _ []string) error {
 			x, stop := signal.NotifyContext(c.Context(), os.Interrupt, syscall.SIGTERM)
 			defer stop()
@@ -198,9 +199,9 @@
 		})
 }
 
-// report prints what became of a publication. Only a change in force, no change
-// and a dry run are successes.
-func report(w io.Writer, r publisher.Result, asJSON bool) error {
+// printResult prints the result of a publication. It fails with ErrNotDone unless the change
+// is in force, there is no change, or it was a dry run.
+func printResult(w io.Writer, r publisher.Result, asJSON bool) error {
 	if asJSON {
 		e := json.NewEncoder(w)
 		e.SetIndent("", "  ")
@@ -222,7 +223,7 @@
 	case publisher.Stale:
 		return errors.Mark(errors.Newf("revision %d is in force; look at it and publish on it", r.Revision), ErrNotDone)
 	case publisher.Unknown:
-		return errors.Mark(errors.Newf("it is not known whether the change was taken; publish again with --id %s", r.ID), ErrNotDone)
+		return errors.Mark(errors.Newf("the outcome is unknown; publish again with --id %s", r.ID), ErrNotDone)
 	case publisher.NotRun:
 	}
 
--- a/internal/commander/ask.go
+++ b/internal/commander/peer.go
@@ -11,10 +11,10 @@
 	"github.com/auburntray/auburntray/internal/resolver"
 )
 
-// askTimeout bounds a question to an instance.
-const askTimeout = 5 * time.Second
+// peerTimeout bounds a request to an instance.
+const peerTimeout = 5 * time.Second
 
-// peerTable holds the setting of the instance that is asked.
+// peerTable returns the setting that names the instance to which a request is sent.
 func peerTable(peer *netip.AddrPort) resolver.Table {
 	return resolver.Table{{
 		Name: "peer", Default: "127.0.0.1:8090", Allowed: "an IP number and a port",
@@ -22,9 +22,10 @@
 	}}
 }
 
-// ask calls a function with a messenger that asks instances, for as long as a question may take.
-func ask(c context.Context, f func(c context.Context, m *messenger.Messenger) error) error {
-	c, stop := context.WithTimeout(c, askTimeout)
+// withMessenger calls a function with a messenger for requests to instances, and a context that
+// expires after peerTimeout.
+func withMessenger(c context.Context, f func(c context.Context, m *messenger.Messenger) error) error {
+	c, stop := context.WithTimeout(c, peerTimeout)
 	defer stop()
 
 	m, end, err := messenger.New(netip.MustParseAddrPort("127.0.0.1:0"), joiner.NewID(0), &net.Dialer{}, nil)
--- a/internal/commander/held.go
+++ b/internal/commander/quarantine.go
@@ -16,8 +16,8 @@
 	"github.com/auburntray/auburntray/internal/replicator"
 )
 
-// newHeld returns the command that shows and releases calls that are held back.
-func newHeld() *cobra.Command {
+// newQuarantine returns the command that shows and releases suspected and quarantined calls.
+func newQuarantine() *cobra.Command {
 	var (
 		peer    netip.AddrPort
 		release []string
@@ -27,7 +27,7 @@
 	t := peerTable(&peer)
 
 	c := &cobra.Command{
-		Use: "held", Short: "Show the calls under which targets have ended, or release them", Args: cobra.NoArgs,
+		Use: "held", Short: "Show the calls during which targets crashed, or release them", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if err := t.Read(c.Flags()); err != nil {
 				return err
@@ -38,19 +38,19 @@
 				return err
 			}
 
-			return ask(c.Context(), func(x context.Context, m *messenger.Messenger) error {
+			return withMessenger(c.Context(), func(x context.Context, m *messenger.Messenger) error {
 				k := replicator.NewClient(m, peer)
 				if all || len(l) > 0 {
-					return releaseHeld(x, c.OutOrStdout(), k, l, all)
+					return releaseCalls(x, c.OutOrStdout(), k, l, all)
 				}
 
-				return showHeld(x, c.OutOrStdout(), k)
+				return showCalls(x, c.OutOrStdout(), k)
 			})
 		},
 	}
 	t.AddFlags(c.Flags())
-	c.Flags().StringSliceVar(&release, "release", nil, "digests of calls to release, with commas between them")
-	c.Flags().BoolVar(&all, "release-all", false, "release all calls that are held back")
+	c.Flags().StringSliceVar(&release, "release", nil, "comma-separated digests of calls to release")
+	c.Flags().BoolVar(&all, "release-all", false, "release all quarantined calls")
 	c.MarkFlagsMutuallyExclusive("release", "release-all")
 
 	return c
@@ -71,8 +71,8 @@
 	return o, nil
 }
 
-// showHeld prints a line for each call.
-func showHeld(c context.Context, w io.Writer, k *replicator.Client) error {
+// showCalls prints one line for each suspected or quarantined call.
+func showCalls(c context.Context, w io.Writer, k *replicator.Client) error {
 	l, err := k.Records(c)
 	if err != nil {
 		return err
@@ -96,9 +96,9 @@
 	return nil
 }
 
-// releaseHeld releases calls and prints a line for each. It fails with ErrNotDone when one that
-// was named is not suspected there.
-func releaseHeld(c context.Context, w io.Writer, k *replicator.Client, l []digester.Digest, all bool) error {
+// releaseCalls releases calls and prints one line for each. It fails with ErrNotDone when one of
+// the given calls is neither quarantined nor suspected at the instance.
+func releaseCalls(c context.Context, w io.Writer, k *replicator.Client, l []digester.Digest, all bool) error {
 	o, err := k.Release(c, l, all)
 	if err != nil {
 		return err
@@ -109,7 +109,7 @@
 	}
 
 	if len(o) < len(l) {
-		return errors.Wrapf(ErrNotDone, "%d of %d calls are not held back or suspected there", len(l)-len(o), len(l))
+		return errors.Wrapf(ErrNotDone, "%d of %d calls are neither quarantined nor suspected at the instance", len(l)-len(o), len(l))
 	}
 
 	return nil
--- a/internal/commander/held_test.go
+++ b/internal/commander/quarantine_test.go
@@ -21,15 +21,15 @@
 	"github.com/auburntray/auburntray/internal/replicator"
 )
 
-// alone is an instance without others.
-type alone struct{}
+// soloInstance is the membership of a fleet of one instance.
+type soloInstance struct{}
 
-func (alone) Live() []gossiper.Member { return nil }
-func (alone) Self() gossiper.Member   { return gossiper.Member{ID: 1} }
+func (soloInstance) Live() []gossiper.Member { return nil }
+func (soloInstance) Self() gossiper.Member   { return gossiper.Member{ID: 1} }
 
-// held starts an instance at which a call is held back and another is suspected, and returns
-// its address.
-func held(t *testing.T) netip.AddrPort {
+// startInstance starts an instance at which one call is quarantined and another is suspected, and
+// returns its address.
+func startInstance(t *testing.T) netip.AddrPort {
 	t.Helper()
 	logrus.SetLevel(logrus.PanicLevel)
 
@@ -40,7 +40,7 @@
 
 	t.Cleanup(stop)
 
-	w := replicator.New(m, alone{}, nil, quarantiner.DefaultSettings())
+	w := replicator.New(m, soloInstance{}, nil, quarantiner.DefaultSettings())
 	w.Register(m)
 	m.Serve()
 
@@ -51,14 +51,14 @@
 
 	w.RecordCrash(digester.Digest(0xcd), 1)
 	w.RecordCrash(digester.Digest(0xcd), 2)
-	w.RecordCrash(digester.Digest(0xef), 1) // One end is nothing to show.
+	w.RecordCrash(digester.Digest(0xef), 1) // A call with one crash is not shown.
 
 	return m.Address()
 }
 
-// An accountant complains that one note is refused again and again. The operator sees which calls
-// are held back, and after how many ends of targets, and releases them.
-func TestHeld(t *testing.T) {
+// Guards against operators who cannot resolve a complaint that a certain call is refused repeatedly: the
+// command shows the quarantined calls with the number of crashes, and releases them.
+func TestQuarantine(t *testing.T) {
 	const (
 		first  = "digest=00000000000000ab standing=held ends=3 last=0s came=0s triedIn=1m0s\n"
 		second = "digest=00000000000000cd standing=suspected ends=2 last=0s came=0s\n"
@@ -68,21 +68,21 @@
 		arguments []string
 		output    string
 		err       error
-		// left is what is shown afterwards.
-		left string
+		// remaining is the list of calls afterwards.
+		remaining string
 	}{
-		"shown":             {nil, first + second, nil, first + second},
-		"one released":      {[]string{"--release", "00000000000000ab"}, "digest=00000000000000ab released\n", nil, second},
-		"two released":      {[]string{"--release", "00000000000000ab,00000000000000cd"}, "digest=00000000000000ab released\ndigest=00000000000000cd released\n", nil, ""},
-		"all released":      {[]string{"--release-all"}, "digest=00000000000000ab released\n", nil, second},
-		"one that is not":   {[]string{"--release", "0000000000000001"}, "", ErrNotDone, first + second},
-		"no digest":         {[]string{"--release", "ab"}, "", ErrUsage, first + second},
-		"nobody is there":   {[]string{"--peer", "127.0.0.1:1"}, "", messenger.ErrUnreachable, first + second},
-		"no proper address": {[]string{"--peer", "here"}, "", errAny, first + second},
+		"shown":                {nil, first + second, nil, first + second},
+		"one released":         {[]string{"--release", "00000000000000ab"}, "digest=00000000000000ab released\n", nil, second},
+		"two released":         {[]string{"--release", "00000000000000ab,00000000000000cd"}, "digest=00000000000000ab released\ndigest=00000000000000cd released\n", nil, ""},
+		"all released":         {[]string{"--release-all"}, "digest=00000000000000ab released\n", nil, second},
+		"unknown call":         {[]string{"--release", "0000000000000001"}, "", ErrNotDone, first + second},
+		"invalid digest":       {[]string{"--release", "ab"}, "", ErrUsage, first + second},
+		"unreachable instance": {[]string{"--peer", "127.0.0.1:1"}, "", messenger.ErrUnreachable, first + second},
+		"invalid address":      {[]string{"--peer", "here"}, "", errAny, first + second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			a := held(t).String()
+			a := startInstance(t).String()
 			o, err := execute(t, append([]string{"held", "--peer", a}, x.arguments...)...)
 			is.Equal(err == nil, x.err == nil)
 
@@ -94,15 +94,15 @@
 
 			l, err := execute(t, "held", "--peer", a)
 			is.NoErr(err)
-			is.Equal(l, x.left)
+			is.Equal(l, x.remaining)
 		})
 	}
 }
 
-// errAny is any error.
+// errAny stands for any error in the table.
 var errAny = errors.New("any")
 
-// execute runs a command line and returns what it printed.
+// execute runs a command line and returns its output.
 func execute(t *testing.T, arguments ...string) (string, error) {
 	t.Helper()
 
--- a/internal/commander/root.go
+++ b/internal/commander/root.go
@@ -1,4 +1,4 @@
-// Package commander is the command line of auburntray.
+// Package commander implements the command line of auburntray.
 package commander
 
 import (
@@ -16,11 +16,11 @@
 	"github.com/auburntray/auburntray/internal/signaler"
 )
 
-// New returns the command line of auburntray.
+// New returns the root command of auburntray.
 func New() *cobra.Command {
 	c := &cobra.Command{
 		Use:           "auburntray",
-		Short:         "A router fleet for very many returning chats",
+		Short:         "A fleet of routers for large numbers of recurring chats",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		PersistentPreRun: func(c *cobra.Command, _ []string) {
@@ -30,12 +30,12 @@
 		},
 	}
 
-	c.AddCommand(newRouter(), newPublish(), newShow(), newHistory(), newWatch(), newDrain(), newLoad(), newBench(), newSettings(), newPlatform(), newExplain(), newHeld(), newEvacuations())
+	c.AddCommand(newRouter(), newPublish(), newShow(), newHistory(), newWatch(), newDrain(), newLoad(), newBench(), newSettings(), newPlatform(), newExplain(), newQuarantine(), newEvacuations())
 
 	return c
 }
 
-// annotationLongRunning marks the commands that serve until they are told to stop.
+// annotationLongRunning marks the commands that run until they receive a signal to stop.
 const annotationLongRunning = "longRunning"
 
 func longRunning() map[string]string {
@@ -48,9 +48,9 @@
 	return ok
 }
 
-// setUpLogger makes logs go to a writer in the background, one line of key=value pairs
-// an event, from a level on. It returns the clean-up function of the Logger too, and
-// fails with ErrUsage.
+// setUpLogger makes the standard loggers write events of at least the given level to a writer, in
+// the background and as one line of key=value pairs for each event. It returns the Logger and its
+// clean-up function, and fails with ErrUsage when the level is unknown.
 func setUpLogger(level string, w io.Writer) (*logger.Logger, func(), error) {
 	x, err := logrus.ParseLevel(level)
 	if err != nil {
@@ -60,7 +60,7 @@
 	l, flush := logger.New(w)
 
 	log.SetFlags(0)
-	log.SetOutput(libraries{})
+	log.SetOutput(libraryWriter{})
 	logrus.SetLevel(x)
 	logrus.SetOutput(l)
 	logrus.SetFormatter(&logrus.TextFormatter{DisableColors: true, FullTimestamp: true, TimestampFormat: logger.TimeFormat})
@@ -73,20 +73,20 @@
 	return l, flush, nil
 }
 
-// libraries takes the lines that libraries write by themselves.
+// libraryWriter logs the lines that libraries write to the standard logger.
 //
-// An HTTP server writes them to the standard error, and waits for whoever reads it. With a
-// reader that stalls, the first connection that can't be taken stops the listener for good.
-type libraries struct{}
+// By default these go to standard error, and the write blocks while the reader of standard error
+// is stalled. An HTTP server that logs a failed accept would then stop to accept connections for good.
+type libraryWriter struct{}
 
-// Write is part of io.Writer. It never fails.
-func (libraries) Write(b []byte) (int, error) {
+// Write logs a line. It never fails.
+func (libraryWriter) Write(b []byte) (int, error) {
 	logrus.WithFields(logrus.Fields{"event": "libraryLine", "text": strings.TrimSpace(string(b))}).Warn()
 
 	return len(b), nil
 }
 
-// logSignal logs a signal that came.
+// logSignal logs a received signal.
 func logSignal(s os.Signal, u signaler.Effect) {
 	logrus.WithFields(logrus.Fields{"event": "signalTaken", "signal": s, "use": u}).Info()
 }
--- a/internal/commander/router.go
+++ b/internal/commander/router.go
@@ -21,7 +21,7 @@
 
 	c := &cobra.Command{
 		Use:   "router",
-		Short: "Run an entry instance until SIGTERM, then stop as planned",
+		Short: "Run a router until SIGTERM, then drain and stop",
 		Args:  cobra.NoArgs,
 
 		Annotations: longRunning(),
@@ -41,7 +41,7 @@
 	}
 
 	s.Table().AddFlags(c.Flags())
-	c.Flags().BoolVar(&check, "check", false, "check the settings and end")
+	c.Flags().BoolVar(&check, "check", false, "check the settings and exit")
 
 	return c
 }
@@ -66,7 +66,7 @@
 func newSettings() *cobra.Command {
 	return &cobra.Command{
 		Use:    "settings",
-		Short:  "Print the table of settings as a page",
+		Short:  "Print the settings as a Markdown page",
 		Args:   cobra.NoArgs,
 		Hidden: true,
 		RunE: func(c *cobra.Command, _ []string) error {
--- a/internal/commander/serve.go
+++ b/internal/commander/serve.go
@@ -8,14 +8,15 @@
 	"go.uber.org/fx"
 )
 
-// startMost is how long a stop waits for a start that is under way. A start takes some
-// milliseconds; one that has not ended by then waits for something, and serves nobody.
-const startMost = time.Second
+// startWait is how long a stop waits for a start that is in progress. A start takes a few
+// milliseconds; one that takes longer is blocked, and no calls are served yet.
+const startWait = time.Second
 
-// serve puts an application together, starts it, and stops it when it is told to.
+// serve builds an application, starts it, and stops it once stopping is closed or receives.
 //
-// Settings may lie on a disk that hangs, and a process may be told to stop as it starts. It
-// then ends at once; waiting for the start would keep it until it is killed.
+// The start may block, for example while it reads settings from a disk that does not respond. A stop
+// during such a start returns after startWait; waiting longer would delay the exit until the
+// process is killed.
 func serve(stopping <-chan struct{}, build func() (*fx.App, error)) error {
 	type start struct {
 		app *fx.App
@@ -40,7 +41,7 @@
 	case <-stopping:
 		select {
 		case s = <-started:
-		case <-time.After(startMost):
+		case <-time.After(startWait):
 			return nil
 		}
 	}
@@ -57,7 +58,7 @@
 	return s.app.Stop(c)
 }
 
-// run starts an application.
+// run starts an application within its start time-out.
 func run(a *fx.App) error {
 	c, stop := context.WithTimeout(context.Background(), a.StartTimeout())
 	defer stop()
@@ -65,8 +66,8 @@
 	return a.Start(c)
 }
 
-// buildError returns why an application can't be put together: what the operator can
-// mend, without the parts that needed it.
+// buildError returns the root cause for which an application cannot be built, without the chain of
+// components that depend on the failed one, so that operators see what to correct.
 func buildError(a *fx.App) error {
 	return dig.RootCause(a.Err())
 }
--- a/internal/driver/chat.go
+++ b/internal/driver/chat.go
@@ -111,8 +111,8 @@
 			return nil, first, errors.Mark(err, errInterrupted)
 		}
 
-		if v.Prompt > 0 {
-			d.result.addTokens(v.Prompt, v.Cached)
+		if v.PromptTokens > 0 {
+			d.result.addTokens(v.PromptTokens, v.CachedTokens)
 		}
 
 		if v.Done {
--- a/internal/filterer/relay.go
+++ b/internal/filterer/relay.go
@@ -35,7 +35,7 @@
 func (Relay) Name() string { return "relay" }
 
 // Apply forwards or buffers the answer and closes its body. It fails with
-// sender.ErrStranger if the answer belongs to another request, with sender.ErrBroken if it
+// sender.ErrWrongRequest if the answer belongs to another request, with sender.ErrBroken if it
 // is incomplete, and with sender.ErrTooLong if it is too large to be buffered.
 func (r Relay) Apply(c context.Context, x *exchanger.Exchange) error {
 	defer func() { _ = x.Response.Body.Close() }()
@@ -44,7 +44,7 @@
 	if v := x.Response.Header.Get(exchanger.TargetRequestID); v != "" && v != sender.RequestID(x) {
 		x.Result.TargetFailed = true
 
-		return sender.ErrStranger
+		return sender.ErrWrongRequest
 	}
 
 	var err error
@@ -89,7 +89,7 @@
 	}
 
 	h := make(http.Header)
-	sender.CopyAnswer(h, x.Response.Header)
+	sender.CopyAnswerHeader(h, x.Response.Header)
 	x.Answer = exchanger.Answer{Status: x.Response.StatusCode, Header: h, Body: b}
 
 	if x.ChatCompletion {
--- a/internal/filterer/send.go
+++ b/internal/filterer/send.go
@@ -64,7 +64,7 @@
 	}
 
 	x.Response = r
-	h := sender.Report(r.Header)
+	h := sender.ParseHealth(r.Header)
 	s.Slots.Report(x.Reservation, h.Requests, h.State)
 
 	if h.Backoff > 0 && r.StatusCode == http.StatusServiceUnavailable {
--- a/internal/filterer/stream.go
+++ b/internal/filterer/stream.go
@@ -40,11 +40,11 @@
 		// A late event of an earlier attempt or of another caller's request carries
 		// the ID of that request. Forwarding it would insert text of another answer.
 		if e.ID != "" && e.ID != sender.RequestID(s.exchange) {
-			return sender.ErrStranger
+			return sender.ErrWrongRequest
 		}
 
-		if e.Prompt > 0 {
-			s.relay.countTokens(e.Prompt, e.Cached)
+		if e.PromptTokens > 0 {
+			s.relay.countTokens(e.PromptTokens, e.CachedTokens)
 		}
 
 		switch {
@@ -67,7 +67,7 @@
 	x := s.exchange
 	if !x.Relayed {
 		h := x.Writer.Header()
-		sender.CopyAnswer(h, x.Response.Header)
+		sender.CopyAnswerHeader(h, x.Response.Header)
 		setTargetHeaders(h, x)
 		x.Writer.WriteHeader(http.StatusOK)
 
--- a/internal/gatekeeper/evacuation_handler_test.go
+++ b/internal/gatekeeper/evacuation_handler_test.go
@@ -194,7 +194,7 @@
 		s.Change(watcher.Record{Key: "e/a", Value: []byte("bad"), Offset: 1})
 		e.reportEmptied()
 		time.Sleep(700 * time.Millisecond)
-		i.Equal(e.list(), []wire.Evacuation{{DataCentre: "a", AgeMs: 700, Targets: 1, Own: 2, All: 3}})
+		i.Equal(e.list(), []wire.Evacuation{{DataCentre: "a", AgeMs: 700, Targets: 1, OwnCalls: 2, AllCalls: 3}})
 
 		r["a"] = 0
 
--- a/internal/gatekeeper/evacuation_reporter.go
+++ b/internal/gatekeeper/evacuation_reporter.go
@@ -59,7 +59,7 @@
 
 	for c, b := range e.state.evacuations().Begun {
 		x := wire.Evacuation{
-			DataCentre: c, AgeMs: uint64(time.Since(b).Milliseconds()), Own: uint32(e.workload.Running(c)), //nolint:gosec // Not negative.
+			DataCentre: c, AgeMs: uint64(time.Since(b).Milliseconds()), OwnCalls: uint32(e.workload.Running(c)), //nolint:gosec // Not negative.
 		}
 
 		load := 0.0
@@ -71,7 +71,7 @@
 			}
 		}
 
-		x.All = uint32(math.Round(load))
+		x.AllCalls = uint32(math.Round(load))
 		o = append(o, x)
 	}
 
--- a/internal/gatekeeper/metrics.go
+++ b/internal/gatekeeper/metrics.go
@@ -15,7 +15,7 @@
 	m.RegisterGauge("calls_running_evacuated", func() float64 {
 		n := 0
 		for _, x := range g.evacuations.list() {
-			n += int(x.Own)
+			n += int(x.OwnCalls)
 		}
 
 		return float64(n)
--- a/internal/gatekeeper/options.go
+++ b/internal/gatekeeper/options.go
@@ -167,8 +167,8 @@
 	m.Handle(wire.KindGossip, j.Gossip)
 
 	i := advertiser.New(m, j, x)
-	m.Handle(wire.KindNews, i.HandleUpdate)
-	m.Handle(wire.KindRelay, i.HandleRelay)
+	m.Handle(wire.KindUpdate, i.HandleUpdate)
+	m.Handle(wire.KindUpdateRelay, i.HandleRelay)
 	m.Handle(wire.KindGone, i.HandleGone)
 	x.OnGone(i.NotifyGone)
 	m.Handle(wire.KindLeaving, i.HandleLeaving)
@@ -197,7 +197,7 @@
 	g.registerMetrics(p.Meter)
 
 	for name, k := range map[string]wire.Kind{
-		"news": wire.KindNews, "relay": wire.KindRelay, "gone": wire.KindGone, "leaving": wire.KindLeaving, "gossip": wire.KindGossip, "reply": wire.KindReply,
+		"news": wire.KindUpdate, "relay": wire.KindUpdateRelay, "gone": wire.KindGone, "leaving": wire.KindLeaving, "gossip": wire.KindGossip, "reply": wire.KindReply,
 		"reserve": wire.KindReserve, "vacate": wire.KindVacate, "occupancy": wire.KindOccupancy,
 		"suspects": wire.KindSuspects, "suspects_relay": wire.KindSuspectsRelay, "suspects_request": wire.KindSuspectsRequest,
 		"trial": wire.KindTrial,
--- a/internal/gossiper/gossip.go
+++ b/internal/gossiper/gossip.go
@@ -70,7 +70,7 @@
 // newGossip returns the message to send to a router in one round.
 func (g *Gossiper) newGossip(revision uint64, to Member) wire.Gossip {
 	w := wire.Gossip{Revision: revision, Members: []wire.Member{g.self.Introduction()}}
-	w.Beats = append(w.Beats, g.beatOf(g.self))
+	w.Heartbeats = append(w.Heartbeats, g.beatOf(g.self))
 
 	var near, far []*entry
 
@@ -87,7 +87,7 @@
 	w.Members = append(w.Members, g.introductions(to)...)
 
 	for _, e := range append(leastSent(near, g.settings.NearBeats), leastSent(far, g.settings.FarBeats)...) {
-		w.Beats = append(w.Beats, g.beatOf(e))
+		w.Heartbeats = append(w.Heartbeats, g.beatOf(e))
 	}
 
 	for id := range g.unknown {
@@ -153,10 +153,10 @@
 }
 
 // beatOf returns a router's beat and counts that it is sent.
-func (g *Gossiper) beatOf(e *entry) wire.Beat {
+func (g *Gossiper) beatOf(e *entry) wire.Heartbeat {
 	e.sent++
 
-	return wire.Beat{ID: e.ID, Count: e.count, Leaving: e.leaving}
+	return wire.Heartbeat{ID: e.ID, Count: e.count, Leaving: e.leaving}
 }
 
 // leastSent returns up to n entries, those whose beats were sent least often.
--- a/internal/gossiper/gossiper.go
+++ b/internal/gossiper/gossiper.go
@@ -148,7 +148,7 @@
 		}
 	}
 
-	for _, b := range w.Beats {
+	for _, b := range w.Heartbeats {
 		g.applyBeat(now, b)
 	}
 
@@ -224,7 +224,7 @@
 
 // applyBeat records a router's beat. Only a higher count proves that the router is alive,
 // since gossip that was relayed for long contains counts that were received before.
-func (g *Gossiper) applyBeat(now time.Time, b wire.Beat) {
+func (g *Gossiper) applyBeat(now time.Time, b wire.Heartbeat) {
 	e, ok := g.entries[b.ID]
 	if !ok {
 		g.unknown[b.ID] = true
--- a/internal/gossiper/gossiper_test.go
+++ b/internal/gossiper/gossiper_test.go
@@ -175,7 +175,7 @@
 
 func TestBeats(t *testing.T) {
 	beat := func(n uint32, leaving bool) wire.Gossip {
-		return wire.Gossip{Beats: []wire.Beat{{ID: 2, Count: n, Leaving: leaving}}}
+		return wire.Gossip{Heartbeats: []wire.Heartbeat{{ID: 2, Count: n, Leaving: leaving}}}
 	}
 
 	for name, tc := range map[string]struct {
--- a/internal/matcher/cell.go
+++ b/internal/matcher/cell.go
@@ -171,7 +171,7 @@
 // adding a target moves no other until the number of cells doubles.
 func (m *Matcher) split(pool, region, part string, t []*Target) {
 	n := 1
-	for n*m.document.Limits.Cell() < len(t) {
+	for n*m.document.Limits.CellSize() < len(t) {
 		n *= 2
 	}
 
--- a/internal/matcher/matcher.go
+++ b/internal/matcher/matcher.go
@@ -76,7 +76,7 @@
 	}
 
 	for n, c := range d.Customers {
-		m.weights[hasher.Name(n)] = c.Share()
+		m.weights[hasher.Name(n)] = c.EffectiveWeight()
 	}
 
 	t := parseTargets(d)
--- a/internal/messenger/messenger_test.go
+++ b/internal/messenger/messenger_test.go
@@ -41,23 +41,23 @@
 	i := is.New(t)
 	a, b := newMessenger(t, 1), newMessenger(t, 2)
 
-	b.Handle(wire.KindAsk, func(_ context.Context, from uint64, x []byte) (msgp.Marshaler, error) {
-		var w wire.Ask
+	b.Handle(wire.KindSlotRequest, func(_ context.Context, from uint64, x []byte) (msgp.Marshaler, error) {
+		var w wire.SlotRequest
 		if _, err := w.UnmarshalMsg(x); err != nil {
 			return nil, err
 		}
 
-		return &wire.Verdict{Target: w.Cell, RetryAfterMs: uint32(from)}, nil
+		return &wire.SlotReply{Target: w.Cell, RetryAfterMs: uint32(from)}, nil
 	})
 	b.Handle(wire.KindState, func(context.Context, uint64, []byte) (msgp.Marshaler, error) {
 		return nil, errors.New("not now")
 	})
 	b.Serve()
 
-	var v wire.Verdict
+	var v wire.SlotReply
 
 	for n := range uint32(100) {
-		i.NoErr(a.Call(t.Context(), b.Address(), wire.KindAsk, &wire.Ask{Cell: n}, &v))
+		i.NoErr(a.Call(t.Context(), b.Address(), wire.KindSlotRequest, &wire.SlotRequest{Cell: n}, &v))
 		i.Equal(v.Target, n)
 		i.Equal(v.RetryAfterMs, uint32(1)) // The ID of the sender, which the handler put there.
 	}
@@ -65,7 +65,7 @@
 	err := a.Call(t.Context(), b.Address(), wire.KindState, &wire.StateRequest{}, &v)
 	i.True(errors.Is(err, messenger.ErrRefused))
 
-	err = a.Call(t.Context(), netip.MustParseAddrPort("127.0.0.1:1"), wire.KindAsk, &wire.Ask{}, &v)
+	err = a.Call(t.Context(), netip.MustParseAddrPort("127.0.0.1:1"), wire.KindSlotRequest, &wire.SlotRequest{}, &v)
 	i.True(errors.Is(err, messenger.ErrUnreachable))
 }
 
@@ -75,16 +75,16 @@
 	i := is.New(t)
 	a, b := newMessenger(t, 1), newMessenger(t, 2)
 
-	b.Handle(wire.KindAsk, func(context.Context, uint64, []byte) (msgp.Marshaler, error) { return &wire.Verdict{Target: 7}, nil })
+	b.Handle(wire.KindSlotRequest, func(context.Context, uint64, []byte) (msgp.Marshaler, error) { return &wire.SlotReply{Target: 7}, nil })
 	b.Serve()
 
-	var v wire.Verdict
+	var v wire.SlotReply
 
-	for _, k := range []wire.Kind{wire.KindLeaving, wire.KindRest, wire.Kinds, math.MaxUint8} {
+	for _, k := range []wire.Kind{wire.KindLeaving, wire.KindBackoff, wire.Kinds, math.MaxUint8} {
 		i.NoErr(a.Send(t.Context(), b.Address(), k, &wire.Gone{Targets: []string{"t"}, StartsMs: []int64{1}}))
 
-		v = wire.Verdict{}
-		i.NoErr(a.Call(t.Context(), b.Address(), wire.KindAsk, &wire.Ask{}, &v))
+		v = wire.SlotReply{}
+		i.NoErr(a.Call(t.Context(), b.Address(), wire.KindSlotRequest, &wire.SlotRequest{}, &v))
 		i.Equal(v.Target, uint32(7))
 	}
 }
@@ -142,7 +142,7 @@
 		var took time.Duration
 
 		for range 2 {
-			err = m.Call(t.Context(), netip.MustParseAddrPort("10.0.0.1:1"), wire.KindAsk, &wire.Ask{}, &wire.Verdict{})
+			err = m.Call(t.Context(), netip.MustParseAddrPort("10.0.0.1:1"), wire.KindSlotRequest, &wire.SlotRequest{}, &wire.SlotReply{})
 			i.True(errors.Is(err, messenger.ErrUnreachable))
 			i.True(errors.Is(err, context.DeadlineExceeded))
 
@@ -172,7 +172,7 @@
 		"length does not end":   bytes.Repeat([]byte{0xff}, 20),
 		"empty frame":           {0},
 		"invalid msgpack":       {3, 0xc1, 0xc1, 0xc1},
-		"no Hello first":        frame(t, wire.KindAsk, &wire.Ask{}),
+		"no Hello first":        frame(t, wire.KindSlotRequest, &wire.SlotRequest{}),
 		"truncated frame":       frame(t, wire.KindHello, &wire.Hello{From: 1})[:3],
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -208,7 +208,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(frame(f, wire.KindAsk, &wire.Ask{Chat: 1, Excluded: []uint32{1}}))
+	f.Add(frame(f, wire.KindSlotRequest, &wire.SlotRequest{Chat: 1, Excluded: []uint32{1}}))
 	f.Add([]byte{0xff, 0xff, 0x01})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		x, n, err := messenger.Decode(bufio.NewReader(bytes.NewReader(b)))
@@ -240,25 +240,25 @@
 
 	defer stop()
 
-	q, r := &wire.Ask{Prompt: 2000}, &wire.Verdict{Target: 7}
+	q, r := &wire.SlotRequest{Prompt: 2000}, &wire.SlotReply{Target: 7}
 
-	x.Handle(wire.KindAsk, func(context.Context, uint64, []byte) (msgp.Marshaler, error) { return r, nil })
+	x.Handle(wire.KindSlotRequest, func(context.Context, uint64, []byte) (msgp.Marshaler, error) { return r, nil })
 	x.Serve()
 
-	var v wire.Verdict
+	var v wire.SlotReply
 
-	is.NoErr(x.Call(t.Context(), x.Address(), wire.KindAsk, q, &v))
+	is.NoErr(x.Call(t.Context(), x.Address(), wire.KindSlotRequest, q, &v))
 
 	f := x.Traffic()
-	is.Equal(f.SentOf(wire.KindAsk), int64(messenger.Size(wire.KindAsk, 1, q)))
+	is.Equal(f.SentOf(wire.KindSlotRequest), int64(messenger.Size(wire.KindSlotRequest, 1, q)))
 	// The reply may arrive before its bytes are counted.
 	waiter.Until(t, "the reply's bytes", func() bool {
 		return f.SentOf(wire.KindReply) == int64(messenger.Size(wire.KindReply, 1, r))
 	})
-	is.Equal(f.SentOf(wire.KindNews), int64(0))
+	is.Equal(f.SentOf(wire.KindUpdate), int64(0))
 
 	n, _ := f.Bytes()
-	is.Equal(n, f.SentOf(wire.KindAsk)+f.SentOf(wire.KindReply)+f.SentOf(wire.KindHello))
+	is.Equal(n, f.SentOf(wire.KindSlotRequest)+f.SentOf(wire.KindReply)+f.SentOf(wire.KindHello))
 }
 
 func BenchmarkCall(b *testing.B) {
@@ -269,17 +269,17 @@
 
 	defer stop()
 
-	x.Handle(wire.KindAsk, func(context.Context, uint64, []byte) (msgp.Marshaler, error) {
-		return &wire.Verdict{Target: 1 << 30}, nil
+	x.Handle(wire.KindSlotRequest, func(context.Context, uint64, []byte) (msgp.Marshaler, error) {
+		return &wire.SlotReply{Target: 1 << 30}, nil
 	})
 	x.Serve()
 
-	var v wire.Verdict
+	var v wire.SlotReply
 
-	q := &wire.Ask{Seq: 1 << 20, Cell: 1 << 30, Rule: 1 << 30, Customer: 1 << 30, Chat: 1 << 60, Prompt: 2000, Hint: 1 << 30}
+	q := &wire.SlotRequest{Seq: 1 << 20, Cell: 1 << 30, Rule: 1 << 30, Customer: 1 << 30, Chat: 1 << 60, Prompt: 2000, Hint: 1 << 30}
 
 	for b.Loop() {
-		if err := x.Call(b.Context(), x.Address(), wire.KindAsk, q, &v); err != nil {
+		if err := x.Call(b.Context(), x.Address(), wire.KindSlotRequest, q, &v); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -321,11 +321,11 @@
 
 	answer := make(chan struct{})
 
-	b.Handle(wire.KindAsk, func(context.Context, uint64, []byte) (msgp.Marshaler, error) { return &wire.Verdict{}, nil })
+	b.Handle(wire.KindSlotRequest, func(context.Context, uint64, []byte) (msgp.Marshaler, error) { return &wire.SlotReply{}, nil })
 	b.Handle(wire.KindReserve, func(context.Context, uint64, []byte) (msgp.Marshaler, error) {
 		<-answer
 
-		return &wire.Room{}, nil
+		return &wire.ReserveReply{}, nil
 	})
 	b.Serve()
 
@@ -338,7 +338,7 @@
 		c, stop := context.WithTimeout(t.Context(), within)
 		defer stop()
 
-		return a.Call(c, b.Address(), wire.KindAsk, &wire.Ask{}, &wire.Verdict{})
+		return a.Call(c, b.Address(), wire.KindSlotRequest, &wire.SlotRequest{}, &wire.SlotReply{})
 	}
 
 	for range 2 {
@@ -353,7 +353,7 @@
 		c, leave := context.WithCancel(t.Context())
 		time.AfterFunc(5*time.Millisecond, leave)
 
-		i.True(a.Call(c, b.Address(), wire.KindReserve, &wire.Reserve{}, &wire.Room{}) != nil)
+		i.True(a.Call(c, b.Address(), wire.KindReserve, &wire.Reserve{}, &wire.ReserveReply{}) != nil)
 	}
 
 	close(answer)
--- a/internal/parser/errors.go
+++ b/internal/parser/errors.go
@@ -2,6 +2,6 @@
 
 import "github.com/cockroachdb/errors"
 
-// ErrDocument marks every refusal of a document. The message names each
-// offending path.
+// ErrDocument marks every error on an invalid document. The message names the path of
+// each invalid value.
 var ErrDocument = errors.New("the document is not valid")
--- a/internal/parser/parser.go
+++ b/internal/parser/parser.go
@@ -16,9 +16,8 @@
 	"github.com/auburntray/auburntray/internal/hasher"
 )
 
-// Parse reads a document and checks it as a whole. The error carries every
-// fault with its path and is marked with ErrDocument. Parse is safe for
-// concurrent use.
+// Parse parses and validates a document. The error lists every fault with its path
+// and is marked with ErrDocument. Parse is safe for concurrent use.
 func Parse(data []byte) (*Document, error) {
 	var d Document
 
@@ -40,7 +39,8 @@
 	return &d, nil
 }
 
-// Check reports every fault of a document in one error marked ErrDocument.
+// Check validates a document. The error lists every fault with its path and is marked
+// with ErrDocument.
 func Check(d *Document) error {
 	f := fieldFaults(d)
 	f = append(f, targetFaults(d)...)
@@ -58,7 +58,7 @@
 	return errors.Mark(errors.Newf("%s", strings.Join(f, "; ")), ErrDocument)
 }
 
-// fieldFaults returns what the field tags find wrong.
+// fieldFaults returns the violations of the fields' validate tags, with JSON names in the paths.
 func fieldFaults(d *Document) []string {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(f reflect.StructField) string {
@@ -84,8 +84,8 @@
 	return f
 }
 
-// targetFaults checks addresses and labels, and that no two targets share an
-// address: their load would be counted twice.
+// targetFaults validates the addresses and labels of targets. Two targets must not share
+// an address, since the load of one process would be counted twice.
 func targetFaults(d *Document) []string {
 	var f []string
 
@@ -113,7 +113,7 @@
 	return f
 }
 
-// ruleFaults checks that selectors can be read.
+// ruleFaults validates the selectors of rules.
 func ruleFaults(d *Document) []string {
 	var f []string
 
@@ -131,9 +131,9 @@
 	return f
 }
 
-// nameFaults finds names whose hashes collide. Instances send hashes to each
-// other, so two such names would share a count or a place; a document with
-// them is refused while the operator can still choose another name.
+// nameFaults returns names whose hashes collide. Instances identify names to each other
+// by their hashes, so two such names would share load counts and placements. The document
+// is refused at publication, when the operator can still choose another name.
 func nameFaults[V any](path string, m map[string]V) []string {
 	var f []string
 
@@ -151,7 +151,7 @@
 	return f
 }
 
-// sorted returns the keys of a map in order.
+// sorted returns the sorted keys of a map.
 func sorted[V any](m map[string]V) []string {
 	k := make([]string, 0, len(m))
 	for n := range m {
--- a/internal/parser/parser_test.go
+++ b/internal/parser/parser_test.go
@@ -22,20 +22,20 @@
 		replace, by string
 		want        []string
 	}{
-		"a valid one":             {"", "", nil},
-		"no JSON":                 {"{", "", []string{"reading the document"}},
-		"a misspelled field":      {`"weight"`, `"wieght"`, []string{"wieght"}},
-		"text behind it":          {"1.3}\n}", "1.3}\n} x", []string{"follows"}},
-		"a host name":             {"127.0.0.1:7000", "localhost:7000", []string{"targets[e1].address", "IP number"}},
-		"an unknown kind":         {`"engine"`, `"engin"`, []string{"targets[e1].kind", "oneof=engine service"}},
-		"no capacity":             {`"capacity": 4`, `"capacity": 0`, []string{"targets[e1].capacity", "min=1"}},
-		"a bad label":             {`"app": "a"`, `"app": "a b"`, []string{"targets[e1].labels"}},
-		"a bad selector":          {"app=a", "app in", []string{"rules[r].targets"}},
-		"a bad traffic selector":  {"model in (x,y)", "=", []string{"rules[r].traffic"}},
-		"a path without a slash":  {`"/v1"`, `"v1"`, []string{"rules[r].pathPrefix"}},
-		"a bound below the mean":  {"1.3", "0.9", []string{"limits.maxLoadFactor", "min=1.01"}},
-		"a negative weight":       {`"weight": 2`, `"weight": -2`, []string{"customers[c].weight"}},
-		"every fault is reported": {`"region": "r", "dataCentre": "d", "capacity": 4`, `"capacity": 0`, []string{"targets[e1].region", "targets[e1].dataCentre", "targets[e1].capacity"}},
+		"valid":                    {"", "", nil},
+		"invalid JSON":             {"{", "", []string{"reading the document"}},
+		"unknown field":            {`"weight"`, `"wieght"`, []string{"wieght"}},
+		"trailing text":            {"1.3}\n}", "1.3}\n} x", []string{"follows"}},
+		"host name as address":     {"127.0.0.1:7000", "localhost:7000", []string{"targets[e1].address", "IP number"}},
+		"unknown kind":             {`"engine"`, `"engin"`, []string{"targets[e1].kind", "oneof=engine service"}},
+		"capacity of zero":         {`"capacity": 4`, `"capacity": 0`, []string{"targets[e1].capacity", "min=1"}},
+		"invalid label":            {`"app": "a"`, `"app": "a b"`, []string{"targets[e1].labels"}},
+		"invalid target selector":  {"app=a", "app in", []string{"rules[r].targets"}},
+		"invalid traffic selector": {"model in (x,y)", "=", []string{"rules[r].traffic"}},
+		"path without a slash":     {`"/v1"`, `"v1"`, []string{"rules[r].pathPrefix"}},
+		"load factor below 1":      {"1.3", "0.9", []string{"limits.maxLoadFactor", "min=1.01"}},
+		"negative weight":          {`"weight": 2`, `"weight": -2`, []string{"customers[c].weight"}},
+		"several faults":           {`"region": "r", "dataCentre": "d", "capacity": 4`, `"capacity": 0`, []string{"targets[e1].region", "targets[e1].dataCentre", "targets[e1].capacity"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
@@ -50,13 +50,13 @@
 			i.True(errors.Is(err, parser.ErrDocument))
 
 			for _, w := range tc.want {
-				i.True(strings.Contains(err.Error(), w)) // names the path and what is allowed
+				i.True(strings.Contains(err.Error(), w)) // The message names the path and the allowed values.
 			}
 		})
 	}
 }
 
-func TestParseRefusesTwoTargetsAtOneAddress(t *testing.T) {
+func TestParseSharedAddress(t *testing.T) {
 	i := is.New(t)
 	x := strings.Replace(valid, `"e1": {`, `"e2": {"address": "127.0.0.1:7000", "kind": "engine", "region": "r", "dataCentre": "d", "capacity": 4}, "e1": {`, 1)
 	_, err := parser.Parse([]byte(x))
@@ -70,7 +70,7 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		d, err := parser.Parse(b)
 		if err == nil && parser.Check(d) != nil {
-			t.Fatal("parsed what does not pass its check")
+			t.Fatal("Parse accepted a document that Check refuses")
 		}
 	})
 }
--- a/internal/recorder/errors.go
+++ b/internal/recorder/errors.go
@@ -3,11 +3,11 @@
 import "github.com/cockroachdb/errors"
 
 var (
-	// ErrDown means that the log service did not act on the request: it could
-	// not be dialled, or it said so.
-	ErrDown = errors.New("the log service is down")
-	// ErrUncertain means that no answer came: an append may have taken effect.
+	// ErrDown means that the log service did not process the request: the
+	// connection failed, or the service answered that it is unavailable.
+	ErrDown = errors.New("the log service is unavailable")
+	// ErrUncertain means that no usable answer was received: an append may have taken effect.
 	ErrUncertain = errors.New("the log service did not answer")
-	// ErrAnswer means that the answer could not be understood.
+	// ErrAnswer means that the request could not be built or that the service refused it.
 	ErrAnswer = errors.New("the log service gave an unexpected answer")
 )
--- a/internal/recorder/recorder.go
+++ b/internal/recorder/recorder.go
@@ -1,5 +1,4 @@
-// Package recorder reads and appends to the platform's log and reads its list
-// of instances.
+// Package recorder is a client of the platform's log and of its list of instances.
 package recorder
 
 import (
@@ -19,11 +18,11 @@
 )
 
 const (
-	centreHeader = "X-Data-Centre"
-	dialTimeout  = time.Second
-	// maxAnswer bounds an answer: a thousand records of a whole document's size
-	// are not expected at once.
-	maxAnswer = 64 << 20
+	dataCentreHeader = "X-Data-Centre"
+	dialTimeout      = time.Second
+	// maxAnswerBytes bounds an answer. A thousand records of a document's size are not
+	// expected in one answer.
+	maxAnswerBytes = 64 << 20
 )
 
 // Record is one entry of a stream.
@@ -33,8 +32,8 @@
 	Data   []byte    `json:"data"`
 }
 
-// Batch is what a read returns. Oldest is the first offset that is kept, Next
-// the one after the last, and Now the log's clock.
+// Batch is the result of a read. Oldest is the first offset that the log retains, Next
+// the offset after the last record, and Now the time of the log's clock.
 type Batch struct {
 	Oldest  uint64    `json:"oldest"`
 	Next    uint64    `json:"next"`
@@ -42,7 +41,7 @@
 	Records []Record  `json:"records"`
 }
 
-// Instance is an entry of the platform's list.
+// Instance is an entry of the platform's list of instances.
 type Instance struct {
 	Name        string         `json:"name"`
 	Address     netip.AddrPort `json:"address"`
@@ -54,7 +53,7 @@
 	Gone        bool           `json:"gone"`
 }
 
-// List is a change of the platform's list since a version.
+// List holds the changes of the platform's list since a version.
 type List struct {
 	Version   uint64     `json:"version"`
 	Instances []Instance `json:"instances"`
@@ -62,37 +61,37 @@
 
 // Recorder is a client of the platform. It is safe for concurrent use.
 type Recorder struct {
-	base   url.URL
-	centre string
-	client *http.Client
-	bytes  atomic.Int64
+	base       url.URL
+	dataCentre string
+	client     *http.Client
+	bytes      atomic.Int64
 }
 
-// New returns a Recorder for the platform at an address, as seen from a data
-// centre, and its clean-up function.
-func New(a netip.AddrPort, centre string) (*Recorder, func()) {
+// New returns a Recorder for the platform at an address, and its clean-up function.
+// The data centre is the caller's, which the platform receives with each request.
+func New(a netip.AddrPort, dataCentre string) (*Recorder, func()) {
 	t := &http.Transport{
 		DialContext:     (&net.Dialer{Timeout: dialTimeout}).DialContext,
 		MaxIdleConns:    8,
 		IdleConnTimeout: time.Minute,
 	}
 	r := &Recorder{
-		base:   url.URL{Scheme: "http", Host: a.String()},
-		centre: centre,
-		client: &http.Client{Transport: t},
+		base:       url.URL{Scheme: "http", Host: a.String()},
+		dataCentre: dataCentre,
+		client:     &http.Client{Transport: t},
 	}
 
 	return r, t.CloseIdleConnections
 }
 
-// Bytes returns the bytes of bodies exchanged with the platform so far.
+// Bytes returns the number of body bytes sent to and received from the platform so far.
 func (r *Recorder) Bytes() int64 {
 	return r.bytes.Load()
 }
 
-// Append adds records to a stream together and returns the offset of the
-// first. With ErrDown nothing was appended; with ErrUncertain the records may
-// be in the stream, which only reading it can tell.
+// Append appends records to a stream atomically and returns the offset of the first.
+// When it fails with ErrDown nothing was appended; with ErrUncertain the
+// records may be in the stream, which only a read can show.
 func (r *Recorder) Append(c context.Context, stream string, data [][]byte) (uint64, error) {
 	b, err := json.Marshal(struct {
 		Records [][]byte `json:"records"`
@@ -113,8 +112,8 @@
 	return o.Offset, nil
 }
 
-// Read returns records from an offset on. When there are none it waits for
-// them up to the given time; zero does not wait.
+// Read returns records from an offset on. When there are none it waits for one up to
+// the given time; zero means no wait.
 func (r *Recorder) Read(c context.Context, stream string, from uint64, wait time.Duration) (Batch, error) {
 	u := r.base.JoinPath("v1", "streams", stream, "records")
 	u.RawQuery = fmt.Sprintf("from=%d&waitMs=%d", from, wait.Milliseconds())
@@ -126,7 +125,7 @@
 	return b, err
 }
 
-// Instances returns what changed in the list of instances since a version.
+// Instances returns the changes in the list of instances since a version.
 func (r *Recorder) Instances(c context.Context, since uint64) (List, error) {
 	u := r.base.JoinPath("v1", "instances")
 	u.RawQuery = fmt.Sprintf("since=%d", since)
@@ -138,8 +137,8 @@
 	return l, err
 }
 
-// Register enters an instance into the list; the stand-ins use it where the
-// platform's own agent would.
+// Register adds an instance to the list. Only the stand-ins use it, in place of the
+// platform's own agent.
 func (r *Recorder) Register(c context.Context, i Instance) error {
 	b, err := json.Marshal(i)
 	if err != nil {
@@ -155,32 +154,33 @@
 		return errors.Mark(err, ErrAnswer)
 	}
 
-	q.Header.Set(centreHeader, r.centre)
+	q.Header.Set(dataCentreHeader, r.dataCentre)
 	q.Header.Set("Content-Type", "application/json")
-	// The transport repeats a request on a fresh connection when its body can
-	// be read again; an append must not be repeated behind our back.
+	// http.Transport retries a request on a new connection when its body can be
+	// read again. An append must not be repeated without the caller's decision.
 	if method == http.MethodPost {
 		q.GetBody = nil
 	}
 
 	a, err := r.client.Do(q)
 	if err != nil {
-		return errors.Mark(err, failure(err))
+		return errors.Mark(err, classify(err))
 	}
 
 	defer func() { _ = a.Body.Close() }()
 
-	b, err := io.ReadAll(io.LimitReader(a.Body, maxAnswer))
+	b, err := io.ReadAll(io.LimitReader(a.Body, maxAnswerBytes))
 	r.bytes.Add(int64(len(b) + len(body)))
 
 	if err != nil {
 		return errors.Mark(err, ErrUncertain)
 	}
 
-	return answer(a.StatusCode, b, o)
+	return decode(a.StatusCode, b, o)
 }
 
-func answer(status int, b []byte, o any) error {
+// decode decodes an answer into o, unless o is nil or the status is an error.
+func decode(status int, b []byte, o any) error {
 	switch {
 	case status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests:
 		return errors.Mark(errors.Newf("status %d", status), ErrDown)
@@ -192,8 +192,8 @@
 		return nil
 	}
 
-	// A proxy on the way may answer for a service that acted. What can't be read
-	// tells nothing of that.
+	// The answer may come from a proxy although the service processed the request, so
+	// an unreadable answer leaves the effect unknown.
 	if err := json.Unmarshal(b, o); err != nil {
 		return errors.Mark(err, ErrUncertain)
 	}
@@ -201,8 +201,9 @@
 	return nil
 }
 
-// failure tells a request that was never sent from one that may have been.
-func failure(err error) error {
+// classify returns ErrDown for a request that was not sent, and ErrUncertain for one that
+// may have been.
+func classify(err error) error {
 	var o *net.OpError
 	if errors.As(err, &o) && o.Op == "dial" {
 		return ErrDown
--- a/internal/recorder/recorder_test.go
+++ b/internal/recorder/recorder_test.go
@@ -16,10 +16,10 @@
 	"github.com/auburntray/auburntray/internal/recorder"
 )
 
-// Whether an append took effect decides whether a call may be sent or a change
-// be called lost. Each way to fail must be told apart truly: only what surely
-// had no effect is ErrDown.
-func TestAppendTellsWhatIsKnown(t *testing.T) {
+// Guards against calls that are sent although their claim may be in the log, or changes
+// that are reported lost although they may be in force: ErrDown is permitted only where
+// the append certainly had no effect.
+func TestAppendErrors(t *testing.T) {
 	answer := func(status int, body string) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) {
 			w.WriteHeader(status)
@@ -33,12 +33,12 @@
 	}{
 		"appended":          {answer(200, `{"offset": 7}`), nil},
 		"down":              {answer(503, ""), recorder.ErrDown},
-		"too many":          {answer(429, ""), recorder.ErrDown},
-		"failed inside":     {answer(500, ""), recorder.ErrUncertain},
-		"cut":               {func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, recorder.ErrUncertain},
-		"slow":              {func(_ http.ResponseWriter, r *http.Request) { _, _ = io.Copy(io.Discard, r.Body); <-r.Context().Done() }, recorder.ErrUncertain},
-		"half an answer":    {answer(200, `{"offs`), recorder.ErrUncertain},
-		"not what we speak": {answer(400, "what?"), recorder.ErrAnswer},
+		"too many requests": {answer(429, ""), recorder.ErrDown},
+		"internal error":    {answer(500, ""), recorder.ErrUncertain},
+		"connection closed": {func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, recorder.ErrUncertain},
+		"time-out":          {func(_ http.ResponseWriter, r *http.Request) { _, _ = io.Copy(io.Discard, r.Body); <-r.Context().Done() }, recorder.ErrUncertain},
+		"truncated answer":  {answer(200, `{"offs`), recorder.ErrUncertain},
+		"bad request":       {answer(400, "what?"), recorder.ErrAnswer},
 	} {
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
@@ -72,5 +72,5 @@
 	defer stop()
 
 	_, err := r.Append(t.Context(), "s", [][]byte{[]byte("x")})
-	i.True(errors.Is(err, recorder.ErrDown)) // nobody was there to act
+	i.True(errors.Is(err, recorder.ErrDown)) // The connection was refused.
 }
--- a/internal/recoverer/recoverer.go
+++ b/internal/recoverer/recoverer.go
@@ -1,4 +1,4 @@
-// Package recoverer answers calls whose handling panicked.
+// Package recoverer provides middleware that recovers from panics in handlers.
 package recoverer
 
 import (
@@ -9,9 +9,10 @@
 	"github.com/sirupsen/logrus"
 )
 
-// New returns a handler that has a function answer a call whose handling panicked. A call
-// whose answer had begun is broken off, since what came after the part would read like its
-// end. An abort on purpose goes on to the server, which closes the connection.
+// New returns middleware that logs a panic of a later handler and answers the call with the
+// given function. If the answer had already begun, it aborts the connection instead, since the
+// caller would take further text for the end of the answer. http.ErrAbortHandler is passed
+// to the server, which closes the connection.
 func New(answer func(c *gin.Context)) gin.HandlerFunc {
 	return func(c *gin.Context) {
 		defer func() {
@@ -20,7 +21,7 @@
 				return
 			}
 
-			if e == http.ErrAbortHandler { //nolint:errorlint,err113 // The server compares it so.
+			if e == http.ErrAbortHandler { //nolint:errorlint,err113 // net/http compares it with ==, too.
 				panic(e)
 			}
 
--- a/internal/recoverer/recoverer_test.go
+++ b/internal/recoverer/recoverer_test.go
@@ -13,24 +13,23 @@
 	"github.com/auburntray/auburntray/internal/recoverer"
 )
 
-// A fault of the program shows in the handling of one call, before or in the middle of its
-// answer. A caller that had a part of the answer got an error's text behind it and an
-// ordinary end, and took the two for the whole.
+// Guards against a caller that takes a truncated answer for a complete one: when a handler
+// panicked in the middle of an answer, an error text was appended and the answer ended regularly.
 func TestPanics(t *testing.T) {
 	gin.SetMode(gin.ReleaseMode)
 	logrus.SetLevel(logrus.PanicLevel)
 
 	tests := map[string]struct {
-		handle gin.HandlerFunc
-		status int
-		body   string
-		whole  bool
+		handle   gin.HandlerFunc
+		status   int
+		body     string
+		complete bool
 	}{
-		"none":               {handle: func(c *gin.Context) { c.String(http.StatusOK, "hello") }, status: 200, body: "hello", whole: true},
-		"before the answer":  {handle: func(*gin.Context) { panic("a fault") }, status: 500, body: "broken", whole: true},
-		"in the answer":      {handle: func(c *gin.Context) { c.String(http.StatusOK, "hel"); c.Writer.Flush(); panic("a fault") }, status: 200, body: "hel"},
-		"abort on purpose":   {handle: func(*gin.Context) { panic(http.ErrAbortHandler) }},
-		"abort in an answer": {handle: func(c *gin.Context) { c.String(http.StatusOK, "hel"); c.Writer.Flush(); panic(http.ErrAbortHandler) }, status: 200, body: "hel"},
+		"no panic":                {handle: func(c *gin.Context) { c.String(http.StatusOK, "hello") }, status: 200, body: "hello", complete: true},
+		"before the answer":       {handle: func(*gin.Context) { panic("a fault") }, status: 500, body: "broken", complete: true},
+		"during the answer":       {handle: func(c *gin.Context) { c.String(http.StatusOK, "hel"); c.Writer.Flush(); panic("a fault") }, status: 200, body: "hel"},
+		"abort before the answer": {handle: func(*gin.Context) { panic(http.ErrAbortHandler) }},
+		"abort during the answer": {handle: func(c *gin.Context) { c.String(http.StatusOK, "hel"); c.Writer.Flush(); panic(http.ErrAbortHandler) }, status: 200, body: "hel"},
 	}
 	for name, x := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -52,7 +51,7 @@
 			defer r.Body.Close() //nolint:errcheck // Read below.
 
 			b, err := io.ReadAll(r.Body)
-			i.Equal(err == nil, x.whole)
+			i.Equal(err == nil, x.complete)
 			i.Equal(r.StatusCode, x.status)
 			i.Equal(string(b), x.body)
 		})
--- a/internal/repeater/answer.go
+++ b/internal/repeater/answer.go
@@ -44,7 +44,7 @@
 	s.mu.Lock()
 	l, w := s.cache.since(from)
 	p := &wire.StreamReply{
-		Next: s.cache.next, Whole: w, AgeMs: sinceMs(s.cache.confirmed), ComingMs: sinceMs(s.lastArrival),
+		Next: s.cache.next, Snapshot: w, AgeMs: sinceMs(s.cache.confirmed), LastArrivalMs: sinceMs(s.lastArrival),
 	}
 
 	s.mu.Unlock()
@@ -107,7 +107,7 @@
 		return p
 	}
 
-	return &wire.StreamReply{Next: from, AgeMs: p.AgeMs, ComingMs: p.ComingMs, Elsewhere: e.String()}
+	return &wire.StreamReply{Next: from, AgeMs: p.AgeMs, LastArrivalMs: p.LastArrivalMs, RedirectTo: e.String()}
 }
 
 // sinceMs returns the time elapsed since t in milliseconds, at most one hour.
--- a/internal/repeater/peers.go
+++ b/internal/repeater/peers.go
@@ -73,8 +73,8 @@
 func (s *Stream) requestUpstream(c context.Context, x upstream, from int64, wait time.Duration) (*wire.StreamReply, error) {
 	p, err := s.request(c, x.member, from, wait, x.stale)
 
-	for n := 0; err == nil && p.Elsewhere != "" && n < maxRedirects; n++ {
-		a, e := netip.ParseAddrPort(p.Elsewhere)
+	for n := 0; err == nil && p.RedirectTo != "" && n < maxRedirects; n++ {
+		a, e := netip.ParseAddrPort(p.RedirectTo)
 		if e != nil {
 			return nil, errors.Mark(e, ErrPeer)
 		}
@@ -111,7 +111,7 @@
 		return nil, errors.Mark(err, ErrPeer)
 	}
 
-	y := time.Duration(p.ComingMs) * time.Millisecond
+	y := time.Duration(p.LastArrivalMs) * time.Millisecond
 	s.setLastArrival(time.Now().Add(-y))
 
 	if time.Duration(p.AgeMs)*time.Millisecond > stale && y >= extender.IdleTimeout {
--- a/internal/repeater/stream.go
+++ b/internal/repeater/stream.go
@@ -163,7 +163,7 @@
 func (s *Stream) applyReply(p *wire.StreamReply, from int64) ([]watcher.Record, int64, error) {
 	l := records(p)
 
-	if !p.Whole {
+	if !p.Snapshot {
 		s.add(s.confirmedAt(p), l, max(p.Next, from))
 
 		return l, max(p.Next, from), nil
--- a/internal/replicator/message.go
+++ b/internal/replicator/message.go
@@ -76,8 +76,8 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 
-	if q.State == w.quarantiner.Fingerprint() {
-		return &wire.Suspects{State: q.State, Informed: w.synced}, nil
+	if q.Fingerprint == w.quarantiner.Fingerprint() {
+		return &wire.Suspects{Fingerprint: q.Fingerprint, Synced: w.synced}, nil
 	}
 
 	return w.snapshot(), nil
@@ -86,7 +86,7 @@
 // snapshot returns the records that every instance should have. The caller holds the lock.
 func (w *Replicator) snapshot() *wire.Suspects {
 	m := encode(time.Now(), w.quarantiner.Records(maxRecords))
-	m.State, m.Informed = w.quarantiner.Fingerprint(), w.synced
+	m.Fingerprint, m.Synced = w.quarantiner.Fingerprint(), w.synced
 
 	return m
 }
@@ -118,7 +118,7 @@
 	defer stop()
 
 	w.mu.Lock()
-	q := wire.SuspectsRequest{State: w.quarantiner.Fingerprint()}
+	q := wire.SuspectsRequest{Fingerprint: w.quarantiner.Fingerprint()}
 	w.mu.Unlock()
 
 	var r wire.Suspects
@@ -138,7 +138,7 @@
 	}
 
 	a := w.reply(&r)
-	if a.State == r.State {
+	if a.Fingerprint == r.Fingerprint {
 		return syncInterval, true
 	}
 
@@ -154,9 +154,9 @@
 	o := &wire.Suspects{}
 
 	for _, r := range l {
-		s := wire.Suspect{Call: uint64(r.Call), SeenMs: age(now, r.LastSeen)}
+		s := wire.Suspect{Call: uint64(r.Call), LastSeenMs: age(now, r.LastSeen)}
 		for _, e := range r.Crashes {
-			s.Ends = append(s.Ends, wire.SuspectEnd{Target: uint32(e.Process), AgeMs: age(now, e.At), Excused: e.Cleared, Known: e.ServedBefore})
+			s.Crashes = append(s.Crashes, wire.SuspectCrash{Target: uint32(e.Process), AgeMs: age(now, e.At), Cleared: e.Cleared, ServedBefore: e.ServedBefore})
 		}
 
 		o.Calls = append(o.Calls, s)
@@ -170,9 +170,9 @@
 	var o []quarantiner.Record
 
 	for _, s := range m.Calls {
-		r := quarantiner.Record{Call: digester.Digest(s.Call), LastSeen: before(now, s.SeenMs)}
-		for _, e := range s.Ends {
-			r.Crashes = append(r.Crashes, quarantiner.Crash{Process: discoverer.Name(e.Target), At: before(now, e.AgeMs), Cleared: e.Excused, ServedBefore: e.Known})
+		r := quarantiner.Record{Call: digester.Digest(s.Call), LastSeen: before(now, s.LastSeenMs)}
+		for _, e := range s.Crashes {
+			r.Crashes = append(r.Crashes, quarantiner.Crash{Process: discoverer.Name(e.Target), At: before(now, e.AgeMs), Cleared: e.Cleared, ServedBefore: e.ServedBefore})
 		}
 
 		o = append(o, r)
--- a/internal/replicator/replicator.go
+++ b/internal/replicator/replicator.go
@@ -300,7 +300,7 @@
 	r := decode(time.Now(), m)
 
 	w.mu.Lock()
-	w.synced = w.synced || m.Informed
+	w.synced = w.synced || m.Synced
 	l, changed := w.quarantiner.Merge(time.Now(), r)
 	w.mu.Unlock()
 
--- a/internal/replicator/store.go
+++ b/internal/replicator/store.go
@@ -96,7 +96,7 @@
 // returns what the other instances should merge, also when there are no records.
 func (w *Replicator) load(l []watcher.Record) *wire.Suspects {
 	n := time.Now()
-	m := &wire.Suspects{Informed: true}
+	m := &wire.Suspects{Synced: true}
 
 	w.mu.Lock()
 
@@ -108,7 +108,7 @@
 			continue
 		}
 
-		if time.Duration(s.SeenMs)*time.Millisecond >= w.retention {
+		if time.Duration(s.LastSeenMs)*time.Millisecond >= w.retention {
 			w.markUnsaved(digester.Digest(s.Call))
 
 			continue
@@ -128,7 +128,7 @@
 // parse decodes a stored record and converts its ages to the present time. The clocks of instances differ,
 // and a negative age counts as zero.
 func parse(now time.Time, r watcher.Record) (wire.Suspect, error) {
-	var h wire.ShelvedSuspect
+	var h wire.QuarantineRecord
 	if _, err := h.UnmarshalMsg(r.Value); err != nil {
 		return wire.Suspect{}, errors.Mark(err, errRecord)
 	}
@@ -139,10 +139,10 @@
 	}
 
 	d := age(now, time.UnixMilli(h.WrittenMs))
-	s.SeenMs += d
+	s.LastSeenMs += d
 
-	for i := range s.Ends {
-		s.Ends[i].AgeMs += d
+	for i := range s.Crashes {
+		s.Crashes[i].AgeMs += d
 	}
 
 	return s, nil
@@ -212,7 +212,7 @@
 		return w.store.Put(x, d.String(), nil)
 	}
 
-	b, err := (&wire.ShelvedSuspect{Suspect: m.Calls[0], WrittenMs: n.UnixMilli()}).MarshalMsg(nil)
+	b, err := (&wire.QuarantineRecord{Suspect: m.Calls[0], WrittenMs: n.UnixMilli()}).MarshalMsg(nil)
 	if err != nil {
 		return errors.Mark(err, errRecord)
 	}
--- a/internal/replicator/store_test.go
+++ b/internal/replicator/store_test.go
@@ -167,10 +167,10 @@
 
 // Guards against invalid stored records: they are skipped, and expired ones are deleted.
 func TestStoredRecords(t *testing.T) {
-	valid := wire.Suspect{Call: uint64(call), Ends: []wire.SuspectEnd{{Target: 1, AgeMs: 2000}, {Target: 2, AgeMs: 1000}, {Target: 3}}}
+	valid := wire.Suspect{Call: uint64(call), Crashes: []wire.SuspectCrash{{Target: 1, AgeMs: 2000}, {Target: 2, AgeMs: 1000}, {Target: 3}}}
 
 	encode := func(s wire.Suspect, written time.Time) []byte {
-		b, err := (&wire.ShelvedSuspect{Suspect: s, WrittenMs: written.UnixMilli()}).MarshalMsg(nil)
+		b, err := (&wire.QuarantineRecord{Suspect: s, WrittenMs: written.UnixMilli()}).MarshalMsg(nil)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/replicator/trial.go
+++ b/internal/replicator/trial.go
@@ -112,7 +112,7 @@
 	x, stop := context.WithTimeout(context.Background(), homeTimeout)
 	defer stop()
 
-	if err := w.messenger.Send(x, h.Address, wire.KindTrial, &wire.Trial{Call: uint64(d), Over: true, Known: w.recordOf(d)}); err != nil {
+	if err := w.messenger.Send(x, h.Address, wire.KindTrial, &wire.Trial{Call: uint64(d), Finished: true, Known: w.recordOf(d)}); err != nil {
 		logrus.WithFields(logrus.Fields{"event": "trialUntold", "digest": d, "peer": h.Address, "error": err}).Debug()
 	}
 }
@@ -143,7 +143,7 @@
 	d := digester.Digest(q.Call)
 	w.merge(&q.Known)
 
-	if q.Over {
+	if q.Finished {
 		w.endTrial(d)
 
 		return nil, nil //nolint:nilnil // Without reply.
--- a/internal/requester/report.go
+++ b/internal/requester/report.go
@@ -68,7 +68,7 @@
 
 // BackOff notifies the home that a target requested a backoff of the given duration.
 func (a *Requester) BackOff(p Reservation, d time.Duration) {
-	w := wire.Rest{Cell: p.cell.ID, Target: p.Target, ForMs: uint32(min(d.Milliseconds(), math.MaxUint32))} //nolint:gosec // Bounded.
+	w := wire.Backoff{Cell: p.cell.ID, Target: p.Target, DurationMs: uint32(min(d.Milliseconds(), math.MaxUint32))} //nolint:gosec // Bounded.
 
 	h, ok := a.remoteHome(p.cell)
 	if !ok {
@@ -77,7 +77,7 @@
 		return
 	}
 
-	a.send(h, wire.KindRest, &w)
+	a.send(h, wire.KindBackoff, &w)
 }
 
 // send sends a message to a home, and suspects the home on failure.
--- a/internal/requester/requester.go
+++ b/internal/requester/requester.go
@@ -38,10 +38,10 @@
 
 // supervisor decides for the cells whose home is this router.
 type supervisor interface {
-	Reserve(now time.Time, entry uint64, w wire.Ask) (wire.Verdict, error)
+	Reserve(now time.Time, entry uint64, w wire.SlotRequest) (wire.SlotReply, error)
 	Release(now time.Time, entry uint64, w wire.Release)
 	Report(now time.Time, w wire.Report)
-	BackOff(now time.Time, w wire.Rest)
+	BackOff(now time.Time, w wire.Backoff)
 	Sync(now time.Time, entry uint64, w wire.Sync)
 }
 
--- a/internal/requester/requester_test.go
+++ b/internal/requester/requester_test.go
@@ -75,11 +75,11 @@
 		return errors.New("connection refused")
 	}
 
-	v, _ := r.(*wire.Verdict)
+	v, _ := r.(*wire.SlotReply)
 	v.Target = 7
 
 	if n.reportDue {
-		v.Flags = wire.FlagTell
+		v.Flags = wire.FlagReportDue
 	}
 
 	return nil
@@ -104,17 +104,17 @@
 	return nil
 }
 
-func (n *network) Reserve(time.Time, uint64, wire.Ask) (wire.Verdict, error) {
+func (n *network) Reserve(time.Time, uint64, wire.SlotRequest) (wire.SlotReply, error) {
 	n.asks[self]++
 
-	return wire.Verdict{Target: 7}, nil
+	return wire.SlotReply{Target: 7}, nil
 }
 
 func (n *network) Release(_ time.Time, _ uint64, w wire.Release) {
 	n.released[self] = append(n.released[self], w)
 }
 
-func (n *network) BackOff(time.Time, wire.Rest) {}
+func (n *network) BackOff(time.Time, wire.Backoff) {}
 
 func (n *network) Report(_ time.Time, w wire.Report) {
 	n.reports[self] = append(n.reports[self], w)
--- a/internal/requester/reserve.go
+++ b/internal/requester/reserve.go
@@ -98,7 +98,7 @@
 }
 
 // reserveLocally decides at this router, whether it is the cell's home or not.
-func (a *Requester) reserveLocally(c context.Context, r Request, w wire.Ask) (Reservation, error) {
+func (a *Requester) reserveLocally(c context.Context, r Request, w wire.SlotRequest) (Reservation, error) {
 	a.setHome(c, r.Cell, a.members.Self())
 
 	v, err := a.supervisor.Reserve(time.Now(), a.members.Self().ID, w)
@@ -110,17 +110,17 @@
 }
 
 // newAsk assigns the next sequence number to a request, which is pending until finishAsk.
-func (a *Requester) newAsk(r Request) wire.Ask {
+func (a *Requester) newAsk(r Request) wire.SlotRequest {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 
 	a.seq++
 	a.pending[a.seq] = true
 
-	return wire.Ask{
+	return wire.SlotRequest{
 		Seq: a.seq, Cell: r.Cell.ID, Rule: r.Rule, Customer: r.Customer, Chat: r.Chat, Prompt: clamp(r.Prompt),
 		Hint: r.Hint, Excluded: r.Excluded, WaitedMs: clamp(int(r.Waited.Milliseconds())),
-		Sent: r.Forwarded,
+		Forwarded: r.Forwarded,
 	}
 }
 
@@ -132,21 +132,21 @@
 }
 
 // requestHome sends a request to another router within the time-out of one request.
-func (a *Requester) requestHome(c context.Context, h gossiper.Member, w wire.Ask) (wire.Verdict, error) {
+func (a *Requester) requestHome(c context.Context, h gossiper.Member, w wire.SlotRequest) (wire.SlotReply, error) {
 	x, stop := context.WithTimeout(c, a.timeout)
 	defer stop()
 
-	var v wire.Verdict
+	var v wire.SlotReply
 
-	err := a.peers.Call(x, h.Address, wire.KindAsk, &w, &v)
+	err := a.peers.Call(x, h.Address, wire.KindSlotRequest, &w, &v)
 
 	return v, err
 }
 
 // record converts a verdict and, if it is a grant, adds it to this router's grants.
-func (a *Requester) record(r Request, w wire.Ask, v wire.Verdict) Reservation {
+func (a *Requester) record(r Request, w wire.SlotRequest, v wire.SlotReply) Reservation {
 	p := Reservation{
-		Reason: granter.Reason(v.Reason), Target: v.Target, Returned: v.Flags&wire.FlagReturned != 0, reportDue: v.Flags&wire.FlagTell != 0,
+		Reason: granter.Reason(v.Reason), Target: v.Target, Returned: v.Flags&wire.FlagReturned != 0, reportDue: v.Flags&wire.FlagReportDue != 0,
 		RetryAfter: time.Duration(v.RetryAfterMs) * time.Millisecond, cell: r.Cell, seq: w.Seq,
 	}
 
--- a/internal/reserver/reserver.go
+++ b/internal/reserver/reserver.go
@@ -104,7 +104,7 @@
 
 	// Without a reply, the home may have counted the call nevertheless.
 	return v, func(s aggregator.Result, latency float64) {
-		r.send(h, wire.KindVacate, &wire.Vacate{Target: uint32(q.Target), Number: q.ID.Number, Sign: uint8(s), Pace: hundredths(latency)})
+		r.send(h, wire.KindVacate, &wire.Vacate{Target: uint32(q.Target), Number: q.ID.Number, Result: uint8(s), Latency: hundredths(latency)})
 	}
 }
 
@@ -142,11 +142,11 @@
 	}
 
 	v := r.reserve(aggregator.Request{
-		ID: aggregator.ID{Instance: from, Number: q.Number}, Target: discoverer.Name(q.Target), MaxCalls: int(q.Most),
-		Deadline: time.Now().Add(time.Duration(q.WithinMs) * time.Millisecond), MedianLatency: fraction(q.Usual), AllowExcluded: q.Anyway,
+		ID: aggregator.ID{Instance: from, Number: q.Number}, Target: discoverer.Name(q.Target), MaxCalls: int(q.MaxCalls),
+		Deadline: time.Now().Add(time.Duration(q.LifetimeMs) * time.Millisecond), MedianLatency: fraction(q.MedianLatency), AllowExcluded: q.AllowExcluded,
 	})
 
-	return &wire.Room{Outcome: uint8(v.Outcome), Calls: uint32(v.Calls), Pace: hundredths(v.Latency)}, nil //nolint:gosec // Small.
+	return &wire.ReserveReply{Outcome: uint8(v.Outcome), Calls: uint32(v.Calls), Latency: hundredths(v.Latency)}, nil //nolint:gosec // Small.
 }
 
 // HandleVacate handles the release of another instance's reservation.
@@ -156,7 +156,7 @@
 		return nil, errors.Mark(err, ErrReservation)
 	}
 
-	r.release(discoverer.Name(w.Target), aggregator.ID{Instance: from, Number: w.Number}, aggregator.Result(w.Sign), fraction(w.Pace))
+	r.release(discoverer.Name(w.Target), aggregator.ID{Instance: from, Number: w.Number}, aggregator.Result(w.Result), fraction(w.Latency))
 
 	return nil, nil //nolint:nilnil // It has no reply.
 }
@@ -207,7 +207,7 @@
 // wait for the time-out.
 func (r *Reserver) request(c context.Context, h gossiper.Member, q aggregator.Request) aggregator.Verdict {
 	type reply struct {
-		room wire.Room
+		room wire.ReserveReply
 		err  error
 	}
 
@@ -215,8 +215,8 @@
 	defer stop()
 
 	w := wire.Reserve{
-		Target: uint32(q.Target), Number: q.ID.Number, Most: uint32(max(q.MaxCalls, 0)), //nolint:gosec // Small.
-		WithinMs: uint32(max(time.Until(q.Deadline), 0).Milliseconds()), Usual: hundredths(q.MedianLatency), Anyway: q.AllowExcluded, //nolint:gosec // Small.
+		Target: uint32(q.Target), Number: q.ID.Number, MaxCalls: uint32(max(q.MaxCalls, 0)), //nolint:gosec // Small.
+		LifetimeMs: uint32(max(time.Until(q.Deadline), 0).Milliseconds()), MedianLatency: hundredths(q.MedianLatency), AllowExcluded: q.AllowExcluded, //nolint:gosec // Small.
 	}
 
 	// The call runs in a goroutine, since it may block beyond its time-out while another message waits
@@ -245,7 +245,7 @@
 
 		return aggregator.Verdict{}
 	default:
-		return aggregator.Verdict{Outcome: aggregator.Outcome(o.room.Outcome), Calls: int(o.room.Calls), Latency: fraction(o.room.Pace)}
+		return aggregator.Verdict{Outcome: aggregator.Outcome(o.room.Outcome), Calls: int(o.room.Calls), Latency: fraction(o.room.Latency)}
 	}
 }
 
--- a/internal/resolver/page.go
+++ b/internal/resolver/page.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Page returns the table of settings as a page in Markdown.
+// Page returns the table of settings as a Markdown page.
 func (t Table) Page() string {
 	var b strings.Builder
 
--- a/internal/resolver/resolver.go
+++ b/internal/resolver/resolver.go
@@ -1,4 +1,4 @@
-// Package resolver reads settings from flags and the environment and checks
+// Package resolver reads settings from flags and environment variables and validates
 // them.
 package resolver
 
@@ -13,23 +13,23 @@
 	"github.com/spf13/pflag"
 )
 
-// ErrSetting marks every refused setting. The message names the setting, its
-// value and what is allowed.
+// ErrSetting marks errors on invalid settings. The message names the setting, its
+// value and the allowed values.
 var ErrSetting = errors.New("a setting is not valid")
 
-// prefix comes before the name of a setting in the environment.
+// prefix is the prefix of the names of environment variables.
 const prefix = "AUBURNTRAY_"
 
-// Setting describes one setting for its flag, its environment variable and the
+// Setting describes one setting, for its flag, its environment variable and the
 // page docs/SETTINGS.md.
 type Setting struct {
 	// Name is the flag's name.
 	Name    string
 	Default string
-	// Allowed says in words which values are taken.
+	// Allowed describes the allowed values.
 	Allowed string
 	Help    string
-	// Read takes a value.
+	// Read parses a value and stores it. It fails when the value is not allowed.
 	Read func(string) error
 }
 
@@ -38,7 +38,7 @@
 	return prefix + strings.ToUpper(strings.ReplaceAll(s.Name, "-", "_"))
 }
 
-// Table is a list of settings in the order in which they are shown.
+// Table is a list of settings in the order of the page.
 type Table []Setting
 
 // AddFlags adds a flag for each setting.
@@ -48,9 +48,9 @@
 	}
 }
 
-// Read takes each setting from its flag, else from the environment, else its
-// default; without flags it takes the last two. The error lists every setting that is not valid and is marked with
-// ErrSetting.
+// Read reads each setting from its flag, or else from the environment, or else from its
+// default. A nil flag set means that there are no flags. The error lists every invalid
+// setting and is marked with ErrSetting.
 func (t Table) Read(f *pflag.FlagSet) error {
 	var l []string
 
@@ -81,7 +81,7 @@
 
 var errNotAllowed = errors.New("not allowed")
 
-// Text returns a reader of a name of up to 63 bytes that may not be empty.
+// Text returns a reader of a text of 1 to 63 bytes.
 func Text(o *string) func(string) error {
 	return func(v string) error {
 		if v == "" || len(v) > 63 {
@@ -94,8 +94,8 @@
 	}
 }
 
-// Free returns a reader of any text, also none.
-func Free(o *string) func(string) error {
+// AnyText returns a reader of any text, which may be empty.
+func AnyText(o *string) func(string) error {
 	return func(v string) error {
 		*o = v
 
@@ -103,8 +103,8 @@
 	}
 }
 
-// Address returns a reader of an IP number and a port. Where optional is set,
-// no text leaves the zero address.
+// Address returns a reader of an IP number and a port. If optional is set, an empty
+// text means the zero address.
 func Address(o *netip.AddrPort, optional bool) func(string) error {
 	return func(v string) error {
 		if v == "" && optional {
@@ -124,7 +124,7 @@
 	}
 }
 
-// Addresses returns a reader of addresses with commas between them, or none.
+// Addresses returns a reader of a comma-separated list of addresses, which may be empty.
 func Addresses(o *[]netip.AddrPort) func(string) error {
 	return func(v string) error {
 		*o = nil
@@ -146,11 +146,11 @@
 	}
 }
 
-// Duration returns a reader of a duration within bounds.
-func Duration(o *time.Duration, least, most time.Duration) func(string) error {
+// Duration returns a reader of a duration within inclusive bounds.
+func Duration(o *time.Duration, lowest, highest time.Duration) func(string) error {
 	return func(v string) error {
 		d, err := time.ParseDuration(v)
-		if err != nil || d < least || d > most {
+		if err != nil || d < lowest || d > highest {
 			return errNotAllowed
 		}
 
@@ -160,11 +160,11 @@
 	}
 }
 
-// Int returns a reader of a whole number within bounds.
-func Int(o *int, least, most int) func(string) error {
+// Int returns a reader of an integer within inclusive bounds.
+func Int(o *int, lowest, highest int) func(string) error {
 	return func(v string) error {
 		n, err := strconv.Atoi(v)
-		if err != nil || n < least || n > most {
+		if err != nil || n < lowest || n > highest {
 			return errNotAllowed
 		}
 
@@ -174,11 +174,11 @@
 	}
 }
 
-// Float returns a reader of a number within bounds.
-func Float(o *float64, least, most float64) func(string) error {
+// Float returns a reader of a number within inclusive bounds. NaN is refused.
+func Float(o *float64, lowest, highest float64) func(string) error {
 	return func(v string) error {
 		n, err := strconv.ParseFloat(v, 64)
-		if err != nil || !(n >= least && n <= most) {
+		if err != nil || !(n >= lowest && n <= highest) {
 			return errNotAllowed
 		}
 
@@ -188,7 +188,7 @@
 	}
 }
 
-// Bool returns a reader of true or false.
+// Bool returns a reader of a boolean.
 func Bool(o *bool) func(string) error {
 	return func(v string) error {
 		b, err := strconv.ParseBool(v)
@@ -202,7 +202,7 @@
 	}
 }
 
-// File returns a reader of the name of a file that can be read, or none.
+// File returns a reader of the name of a readable file, which may be empty.
 func File(o *string) func(string) error {
 	return func(v string) error {
 		if v != "" {
@@ -220,10 +220,10 @@
 	}
 }
 
-// Level returns a reader of one of the given words.
-func Level(o *string, words ...string) func(string) error {
+// OneOf returns a reader of one of the given values.
+func OneOf(o *string, values ...string) func(string) error {
 	return func(v string) error {
-		for _, w := range words {
+		for _, w := range values {
 			if v == w {
 				*o = v
 
--- a/internal/resolver/resolver_test.go
+++ b/internal/resolver/resolver_test.go
@@ -20,17 +20,17 @@
 		check func(r resolver.Router) bool
 		err   []string
 	}{
-		"defaults":                      {nil, nil, func(r resolver.Router) bool { return r.Deadline == 120*time.Second }, nil},
-		"a flag":                        {[]string{"--deadline", "5s"}, nil, func(r resolver.Router) bool { return r.Deadline == 5*time.Second }, nil},
-		"the environment":               {nil, map[string]string{"AUBURNTRAY_DATA_CENTRE": "yaba"}, func(r resolver.Router) bool { return r.DataCentre == "yaba" }, nil},
-		"a flag goes first":             {[]string{"--name", "a"}, map[string]string{"AUBURNTRAY_NAME": "b"}, func(r resolver.Router) bool { return r.Name == "a" }, nil},
-		"a host name":                   {[]string{"--listen", "localhost:80"}, nil, nil, []string{"--listen", `"localhost:80"`, "an IP number and a port"}},
-		"out of bounds":                 {[]string{"--max-body", "1"}, nil, nil, []string{"--max-body", "1024 to"}},
-		"no number":                     {[]string{"--trace-sample", "NaN"}, nil, nil, []string{"--trace-sample", "0 to 1"}},
-		"no file":                       {[]string{"--caller-cert", "/nowhere"}, nil, nil, []string{"--caller-cert", "PEM"}},
-		"a window shorter than a call":  {[]string{"--claim-window", "5m"}, nil, nil, []string{"--claim-window", "--max-deadline"}},
-		"a certificate without its key": {[]string{"--caller-cert", "resolver_test.go"}, nil, nil, []string{"--caller-key"}},
-		"every fault":                   {[]string{"--name", "", "--deadline", "x", "--seeds", "y"}, nil, nil, []string{"--name", "--deadline", "--seeds"}},
+		"defaults":                    {nil, nil, func(r resolver.Router) bool { return r.Deadline == 120*time.Second }, nil},
+		"flag":                        {[]string{"--deadline", "5s"}, nil, func(r resolver.Router) bool { return r.Deadline == 5*time.Second }, nil},
+		"environment":                 {nil, map[string]string{"AUBURNTRAY_DATA_CENTRE": "yaba"}, func(r resolver.Router) bool { return r.DataCentre == "yaba" }, nil},
+		"flag overrides environment":  {[]string{"--name", "a"}, map[string]string{"AUBURNTRAY_NAME": "b"}, func(r resolver.Router) bool { return r.Name == "a" }, nil},
+		"host name as address":        {[]string{"--listen", "localhost:80"}, nil, nil, []string{"--listen", `"localhost:80"`, "an IP number and a port"}},
+		"out of bounds":               {[]string{"--max-body", "1"}, nil, nil, []string{"--max-body", "1024 to"}},
+		"not a number":                {[]string{"--trace-sample", "NaN"}, nil, nil, []string{"--trace-sample", "0 to 1"}},
+		"missing file":                {[]string{"--caller-cert", "/nowhere"}, nil, nil, []string{"--caller-cert", "PEM"}},
+		"claim window below deadline": {[]string{"--claim-window", "5m"}, nil, nil, []string{"--claim-window", "--max-deadline"}},
+		"certificate without key":     {[]string{"--caller-cert", "resolver_test.go"}, nil, nil, []string{"--caller-key"}},
+		"several faults":              {[]string{"--name", "", "--deadline", "x", "--seeds", "y"}, nil, nil, []string{"--name", "--deadline", "--seeds"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestThePageIsCurrent(t *testing.T) {
+func TestPageIsCurrent(t *testing.T) {
 	i := is.New(t)
 
 	b, err := os.ReadFile("../../docs/SETTINGS.md")
@@ -70,5 +70,5 @@
 
 	var r resolver.Router
 
-	i.Equal(string(b), r.Table().Page()) // bin/auburntray settings > docs/SETTINGS.md
+	i.Equal(string(b), r.Table().Page()) // Regenerate with: bin/auburntray settings > docs/SETTINGS.md
 }
--- a/internal/router/components.go
+++ b/internal/router/components.go
@@ -98,7 +98,7 @@
 
 func granterSettings(s resolver.Router) granter.Settings {
 	g := granter.DefaultSettings()
-	g.PlacementBytes = s.PlaceBytes
+	g.PlacementBytes = s.PlacementBytes
 
 	return g
 }
--- a/internal/router/fleet_test.go
+++ b/internal/router/fleet_test.go
@@ -172,7 +172,7 @@
 	s.Listen = netip.MustParseAddrPort("127.0.0.1:0")
 	s.Peer = s.Listen
 	s.DrainNotice = 100 * time.Millisecond
-	s.AskTimeout = time.Second
+	s.SlotTimeout = time.Second
 
 	for _, o := range f.instances {
 		s.Seeds = append(s.Seeds, o.peer)
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -146,7 +146,7 @@
 		OnNewerRevision: aheadHandler(o.Follower),
 		OnTargetChange:  o.Supervisor.ObserveInstance,
 	})
-	o.Requester = requester.New(m, o.Joiner, o.Supervisor, n, p, s.AskTimeout)
+	o.Requester = requester.New(m, o.Joiner, o.Supervisor, n, p, s.SlotTimeout)
 	o.Registrar = registrar.New(r, m, o.Joiner, p, s.ClaimWindow)
 	o.Reconciler = reconciler.New(r, t, n, self.ID)
 	o.Drainer = drainer.New(s.DrainNotice, s.MaxInFlight)
--- a/internal/router/run.go
+++ b/internal/router/run.go
@@ -186,7 +186,7 @@
 func (r *Router) handOver(c context.Context) {
 	n := 0
 
-	r.supervisor.EachCell(func(id uint32, l []wire.Place) {
+	r.supervisor.EachCell(func(id uint32, l []wire.Placement) {
 		x := r.follower.Config().Matcher.Cell(id)
 		if x == nil {
 			return
@@ -199,7 +199,7 @@
 
 		for len(l) > 0 {
 			k := min(len(l), maxHandOverPlacements)
-			if err := r.sendHandOver(c, &wire.HandOver{Cell: id, Places: l[:k]}, h.Address); err != nil {
+			if err := r.sendHandOver(c, &wire.HandOver{Cell: id, Placements: l[:k]}, h.Address); err != nil {
 				logrus.WithFields(logrus.Fields{"event": "handOverFailed", "peer": h.Address, "error": err}).Warn()
 
 				return
--- a/internal/sender/call.go
+++ b/internal/sender/call.go
@@ -18,14 +18,14 @@
 	streamsPath   = "/v1/streams"
 )
 
-// RequestID returns the id under which the present attempt is sent.
+// RequestID returns the ID under which the current attempt of a call is sent to its target.
 func RequestID(x *exchanger.Exchange) string {
 	return x.ID + "-" + strconv.Itoa(x.Attempt)
 }
 
 // Send sends the call to its target and returns the answer with its body
-// unread. It fails with ErrNeverSent when the request provably did not leave,
-// and else with ErrBroken.
+// unread. It fails with ErrNeverSent when the request was certainly not sent, and
+// with ErrBroken otherwise.
 func (s *Sender) Send(c context.Context, x *exchanger.Exchange) (*http.Response, error) {
 	u := *x.Request.URL
 	u.Scheme = s.scheme
@@ -49,9 +49,9 @@
 	return do(t, q)
 }
 
-// Resume asks for the rest of a streamed answer from an offset on.
+// Resume requests the remainder of a streamed answer from an offset on. It fails with ErrNeverSent or ErrBroken.
 func (s *Sender) Resume(c context.Context, x *exchanger.Exchange, offset int) (*http.Response, error) {
-	u := s.target(x.Target.Address, streamsPath+"/"+RequestID(x))
+	u := s.targetURL(x.Target.Address, streamsPath+"/"+RequestID(x))
 	u.RawQuery = "offset=" + strconv.Itoa(offset)
 
 	q, err := http.NewRequestWithContext(c, http.MethodGet, u.String(), nil)
@@ -67,19 +67,19 @@
 	if r.StatusCode != http.StatusOK {
 		_ = r.Body.Close()
 
-		return nil, errors.Mark(errors.Newf("resuming: status %d", r.StatusCode), ErrBroken)
+		return nil, errors.Mark(errors.Newf("resuming the stream: status %d", r.StatusCode), ErrBroken)
 	}
 
 	return r, nil
 }
 
-// Cancel tells the target that nobody waits for the call any more. It does not
-// wait for the caller's context, which has ended by then.
+// Cancel notifies the target that the caller has disconnected. It does not use the
+// context of the call, which is already cancelled then. Errors are ignored.
 func (s *Sender) Cancel(x *exchanger.Exchange) {
 	c, stop := context.WithTimeout(context.Background(), cancelTimeout)
 	defer stop()
 
-	u := s.target(x.Target.Address, streamsPath+"/"+RequestID(x))
+	u := s.targetURL(x.Target.Address, streamsPath+"/"+RequestID(x))
 
 	q, err := http.NewRequestWithContext(c, http.MethodDelete, u.String(), nil)
 	if err != nil {
--- a/internal/sender/order.go
+++ b/internal/sender/command.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	ordersPath = "/admin/orders"
-	maxOrder   = 64 << 10
+	commandsPath    = "/admin/orders"
+	maxCommandBytes = 64 << 10
 )
 
-// order is the body of an order to a target, and of its answer to what it was
-// ordered.
-type order struct {
+// modelCommand is the body of a command to a target, and of its answer when it is
+// requested to report its last command.
+type modelCommand struct {
 	Model string `json:"model"`
 	Fence uint64 `json:"fence"`
 }
 
-// ReportedModel returns the model that a target runs by its last order, and that
-// order's fencing number.
+// ReportedModel returns the model of the last command that a target accepted, and the
+// fencing token of that command. It fails with ErrNeverSent or ErrBroken.
 func (s *Sender) ReportedModel(c context.Context, a netip.AddrPort) (model string, fence uint64, err error) {
-	q, err := http.NewRequestWithContext(c, http.MethodGet, s.target(a, ordersPath).String(), nil)
+	q, err := http.NewRequestWithContext(c, http.MethodGet, s.targetURL(a, commandsPath).String(), nil)
 	if err != nil {
 		return "", 0, errors.Mark(err, ErrNeverSent)
 	}
@@ -38,23 +38,24 @@
 
 	defer func() { _ = r.Body.Close() }()
 
-	var o order
-	if err := json.NewDecoder(io.LimitReader(r.Body, maxOrder)).Decode(&o); err != nil {
+	var o modelCommand
+	if err := json.NewDecoder(io.LimitReader(r.Body, maxCommandBytes)).Decode(&o); err != nil {
 		return "", 0, errors.Mark(err, ErrBroken)
 	}
 
 	return o.Model, o.Fence, nil
 }
 
-// CommandModel tells a target to load a model, under the fencing number of a lease. It
-// fails with ErrFenced when the target has seen a higher number.
+// CommandModel commands a target to load a model, under the fencing token of a lease. It
+// fails with ErrFenced when the target has received a higher token, and otherwise with
+// ErrNeverSent or ErrBroken.
 func (s *Sender) CommandModel(c context.Context, a netip.AddrPort, model string, fence uint64) error {
-	b, err := json.Marshal(order{Model: model, Fence: fence})
+	b, err := json.Marshal(modelCommand{Model: model, Fence: fence})
 	if err != nil {
 		return errors.Mark(err, ErrNeverSent)
 	}
 
-	q, err := http.NewRequestWithContext(c, http.MethodPost, s.target(a, ordersPath).String(), bytes.NewReader(b))
+	q, err := http.NewRequestWithContext(c, http.MethodPost, s.targetURL(a, commandsPath).String(), bytes.NewReader(b))
 	if err != nil {
 		return errors.Mark(err, ErrNeverSent)
 	}
@@ -72,7 +73,7 @@
 	case r.StatusCode == http.StatusConflict:
 		return ErrFenced
 	case r.StatusCode >= http.StatusMultipleChoices:
-		return errors.Mark(errors.Newf("ordering: status %d", r.StatusCode), ErrBroken)
+		return errors.Mark(errors.Newf("commanding the model: status %d", r.StatusCode), ErrBroken)
 	default:
 		return nil
 	}
--- a/internal/sender/event.go
+++ b/internal/sender/event.go
@@ -9,30 +9,30 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maxEvent bounds one event of a stream.
-const maxEvent = 1 << 20
+// maxEventBytes bounds one event of a stream.
+const maxEventBytes = 1 << 20
 
 const (
 	dataPrefix = "data: "
 	dataDone   = "[DONE]"
 )
 
-// Event is one event of a streamed answer.
+// Event is one server-sent event of a streamed answer.
 type Event struct {
-	// Raw is the event as it came, with the empty line after it.
+	// Raw is the event as received, with the empty line that ends it.
 	Raw []byte
-	// ID is the answer's id, empty when the event has none.
+	// ID is the ID of the answer, empty when the event has none.
 	ID string
-	// Content says that the event carries a part of the answer, which is Text.
+	// Content reports that the event carries a part of the answer, which is in Text.
 	Content bool
 	Text    string
-	// Done says that the answer is whole.
+	// Done reports that the answer is complete.
 	Done bool
-	// Prompt and Cached are token counts of the usage event, else zero.
-	Prompt, Cached int
+	// The token counts of the usage event, zero in other events.
+	PromptTokens, CachedTokens int
 }
 
-// Usage is the part of an answer that counts tokens.
+// Usage holds the token counts of an answer.
 type Usage struct {
 	PromptTokens int `json:"prompt_tokens"`
 	Details      struct {
@@ -61,8 +61,8 @@
 	return &EventReader{reader: bufio.NewReader(r)}
 }
 
-// Next returns the next event. It fails with ErrBroken when the body ends
-// before an event is whole.
+// Next returns the next event. It fails with ErrBroken when the body ends before an
+// event is complete, or when an event is longer than 1 MiB.
 func (e *EventReader) Next() (Event, error) {
 	var o Event
 
@@ -73,8 +73,8 @@
 		}
 
 		o.Raw = append(o.Raw, l...)
-		if len(o.Raw) > maxEvent {
-			return o, errors.Mark(errors.New("an event is too long"), ErrBroken)
+		if len(o.Raw) > maxEventBytes {
+			return o, errors.Mark(errors.Newf("an event is longer than %d bytes", maxEventBytes), ErrBroken)
 		}
 
 		l = bytes.TrimRight(l, "\r\n")
@@ -88,7 +88,7 @@
 	}
 }
 
-// Buffered says that more of the answer is here already.
+// Buffered reports whether more of the answer can be read without blocking.
 func (e *EventReader) Buffered() bool {
 	return e.reader.Buffered() > 0
 }
@@ -113,7 +113,7 @@
 	}
 
 	if c.Usage != nil {
-		e.Prompt = c.Usage.PromptTokens
-		e.Cached = c.Usage.Details.CachedTokens
+		e.PromptTokens = c.Usage.PromptTokens
+		e.CachedTokens = c.Usage.Details.CachedTokens
 	}
 }
--- a/internal/sender/header.go
+++ b/internal/sender/header.go
@@ -7,9 +7,10 @@
 	"github.com/auburntray/auburntray/internal/exchanger"
 )
 
-// kept holds the header fields that belong to one connection and are not passed
-// on (RFC 9110, section 7.6.1), and those that are meant for the router.
-func kept(name string) bool {
+// isStripped reports whether a header field is not forwarded: the fields of one
+// connection (RFC 9110, section 7.6.1), and those between the router and its callers
+// or targets.
+func isStripped(name string) bool {
 	switch http.CanonicalHeaderKey(name) {
 	case "Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 		"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Accept-Encoding",
@@ -22,7 +23,7 @@
 	return false
 }
 
-// copyHeader copies the fields that are passed on.
+// copyHeader copies the fields that are forwarded. Fields named by Connection belong to one connection too.
 func copyHeader(o, h http.Header) {
 	n := make(map[string]bool)
 
@@ -33,14 +34,14 @@
 	}
 
 	for k, v := range h {
-		if !kept(k) && !n[k] {
+		if !isStripped(k) && !n[k] {
 			o[k] = append([]string(nil), v...)
 		}
 	}
 }
 
-// CopyAnswer copies the fields of a target's answer that go to the caller. What
-// targets tell the router about themselves stays here.
-func CopyAnswer(o, h http.Header) {
+// CopyAnswerHeader copies the header fields of a target's answer that are forwarded to the
+// caller. The fields in which targets report their state to the router are omitted.
+func CopyAnswerHeader(o, h http.Header) {
 	copyHeader(o, h)
 }
--- a/internal/sender/health.go
+++ b/internal/sender/health.go
@@ -17,10 +17,11 @@
 
 const healthPath = "/health"
 
-// Probe asks a target for its health. An answer that says the target is leaving
-// is a success.
+// Probe requests the health status of a target. It fails with ErrNeverSent or
+// ErrBroken, the latter also for a status other than 200, unless the target reports
+// that it is leaving.
 func (s *Sender) Probe(c context.Context, a netip.AddrPort) (supervisor.Health, error) {
-	u := s.target(a, healthPath)
+	u := s.targetURL(a, healthPath)
 
 	q, err := http.NewRequestWithContext(c, http.MethodGet, u.String(), nil)
 	if err != nil {
@@ -35,17 +36,17 @@
 	_, _ = io.Copy(io.Discard, io.LimitReader(r.Body, 1<<10))
 	_ = r.Body.Close()
 
-	h := Report(r.Header)
+	h := ParseHealth(r.Header)
 	if r.StatusCode != http.StatusOK && !h.State.Leaving {
-		return h, errors.Mark(errors.Newf("health: status %d", r.StatusCode), ErrBroken)
+		return h, errors.Mark(errors.Newf("health check: status %d", r.StatusCode), ErrBroken)
 	}
 
 	return h, nil
 }
 
-// Report reads what a target says of itself in an answer's header. What is
-// missing or malformed is no report.
-func Report(h http.Header) supervisor.Health {
+// ParseHealth parses the state that a target reports in the header of an answer. Fields
+// that are missing or malformed are ignored; Requests is -1 without a load report.
+func ParseHealth(h http.Header) supervisor.Health {
 	o := supervisor.Health{Requests: -1}
 
 	if n, err := strconv.ParseInt(h.Get(exchanger.TargetRequests), 10, 32); err == nil && n >= 0 {
--- a/internal/sender/sender.go
+++ b/internal/sender/sender.go
@@ -19,34 +19,34 @@
 )
 
 const (
-	dialTimeout   = time.Second
-	idleTimeout   = 90 * time.Second
-	idlePerTarget = 64
+	dialTimeout           = time.Second
+	idleTimeout           = 90 * time.Second
+	maxIdleConnsPerTarget = 64
 )
 
-// dialer makes connections; a net.Dialer does.
+// dialer makes connections, as a net.Dialer.
 type dialer interface {
 	DialContext(c context.Context, network, address string) (net.Conn, error)
 }
 
-// TLS says how targets are spoken to.
+// TLS configures the connections to targets. The zero value means plain HTTP.
 type TLS struct {
 	Enabled bool
-	// Authorities is a PEM file; empty takes the system's.
+	// Authorities is a PEM file of certificate authorities; empty means those of the system.
 	Authorities string
 }
 
-// Sender is a client of all targets. It is safe for concurrent use.
+// Sender is an HTTP client of all targets. It is safe for concurrent use.
 type Sender struct {
 	scheme string
-	// reused keeps connections; fresh makes one for each request.
+	// reused keeps connections alive; fresh opens one for each request.
 	reused *http.Transport
 	fresh  *http.Transport
 	prober *prober.Prober
 }
 
-// New returns a Sender, over connections that the dialer makes, and its clean-up
-// function. It fails with ErrSettings.
+// New returns a Sender that connects through the dialer, and its clean-up function.
+// It fails with ErrSettings when the authorities cannot be read.
 func New(t TLS, d dialer) (*Sender, func(), error) {
 	s := &Sender{scheme: "http"}
 
@@ -75,11 +75,11 @@
 	s.prober = prober.New(f)
 	s.reused = &http.Transport{
 		DialContext: f, TLSClientConfig: c, IdleConnTimeout: idleTimeout,
-		MaxIdleConnsPerHost: idlePerTarget, DisableCompression: true,
+		MaxIdleConnsPerHost: maxIdleConnsPerTarget, DisableCompression: true,
 	}
-	// The library sends a request again by itself when a kept connection breaks
-	// under it. For a call that may not be repeated that would be a second run,
-	// so such calls go over connections of their own, where it never does.
+	// http.Transport retries a request by itself when a reused connection breaks.
+	// For a call that may not be repeated this would be a second execution, so such
+	// calls use a new connection each, on which it does not retry.
 	s.fresh = &http.Transport{
 		DialContext: f, TLSClientConfig: c, DisableKeepAlives: true, DisableCompression: true,
 	}
@@ -87,18 +87,18 @@
 	return s, s.reused.CloseIdleConnections, nil
 }
 
-// Crashed says that a target's process is gone: its address refuses connections, and one of some
-// others takes them.
+// Crashed reports whether a target's process is gone: its address refuses connections while at
+// least one of the other addresses accepts them.
 func (s *Sender) Crashed(c context.Context, a netip.AddrPort, others []netip.AddrPort) bool {
 	return s.prober.Crashed(c, a, others)
 }
 
-func (s *Sender) target(a netip.AddrPort, path string) *url.URL {
+func (s *Sender) targetURL(a netip.AddrPort, path string) *url.URL {
 	return &url.URL{Scheme: s.scheme, Host: a.String(), Path: path}
 }
 
-// do sends a request. Without a connection, be it that the dial, the handshake or
-// the wait for one failed, nothing of it has left.
+// do sends a request. It fails with ErrNeverSent when it got no connection, whether the
+// dial, the handshake or the wait for one failed, and with ErrBroken otherwise.
 func do(t *http.Transport, q *http.Request) (*http.Response, error) {
 	var connected atomic.Bool
 
--- a/internal/sender/sender_test.go
+++ b/internal/sender/sender_test.go
@@ -17,15 +17,15 @@
 		want sender.Event
 		err  bool
 	}{
-		"a token":           {"data: {\"id\":\"a\",\"choices\":[{\"delta\":{\"content\":\"hi\"}}]}\n\n", sender.Event{ID: "a", Content: true, Text: "hi"}, false},
-		"no token":          {"data: {\"id\":\"a\",\"choices\":[{\"delta\":{}}]}\n\n", sender.Event{ID: "a"}, false},
-		"usage":             {"data: {\"usage\":{\"prompt_tokens\":9,\"prompt_tokens_details\":{\"cached_tokens\":4}}}\n\n", sender.Event{Prompt: 9, Cached: 4}, false},
-		"the end":           {"data: [DONE]\n\n", sender.Event{Done: true}, false},
-		"a comment":         {": still here\n\n", sender.Event{}, false},
-		"lines end as HTTP": {"data: [DONE]\r\n\r\n", sender.Event{Done: true}, false},
-		"it breaks off":     {"data: [DO", sender.Event{}, true},
-		"before its end":    {"data: [DONE]\n", sender.Event{}, true},
-		"far too long":      {"data: " + strings.Repeat("x", 2<<20) + "\n\n", sender.Event{}, true},
+		"token":                   {"data: {\"id\":\"a\",\"choices\":[{\"delta\":{\"content\":\"hi\"}}]}\n\n", sender.Event{ID: "a", Content: true, Text: "hi"}, false},
+		"empty delta":             {"data: {\"id\":\"a\",\"choices\":[{\"delta\":{}}]}\n\n", sender.Event{ID: "a"}, false},
+		"usage":                   {"data: {\"usage\":{\"prompt_tokens\":9,\"prompt_tokens_details\":{\"cached_tokens\":4}}}\n\n", sender.Event{PromptTokens: 9, CachedTokens: 4}, false},
+		"end of the answer":       {"data: [DONE]\n\n", sender.Event{Done: true}, false},
+		"comment":                 {": still here\n\n", sender.Event{}, false},
+		"CRLF line ends":          {"data: [DONE]\r\n\r\n", sender.Event{Done: true}, false},
+		"truncated in a line":     {"data: [DO", sender.Event{}, true},
+		"truncated between lines": {"data: [DONE]\n", sender.Event{}, true},
+		"too long":                {"data: " + strings.Repeat("x", 2<<20) + "\n\n", sender.Event{}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
@@ -46,12 +46,12 @@
 	}
 }
 
-// Targets tell the router of their load and incarnation. Callers must not see
-// it, nor what belongs to one connection only.
+// Guards against callers receiving the load and incarnation that targets report to
+// the router, or header fields of the connection to the target.
 func TestCopyAnswer(t *testing.T) {
 	i := is.New(t)
 	h := http.Header{}
-	sender.CopyAnswer(h, http.Header{
+	sender.CopyAnswerHeader(h, http.Header{
 		"Content-Type": {"a"}, "Connection": {"X-Own, close"}, "X-Own": {"1"}, "Transfer-Encoding": {"chunked"},
 		"X-Load-Requests": {"3"}, "X-Incarnation": {"5"}, "Set-Cookie": {"a", "b"},
 	})
@@ -65,13 +65,13 @@
 		incarnation uint64
 		leaving     bool
 	}{
-		"all":       {http.Header{"X-Load-Requests": {"3"}, "X-Incarnation": {"5"}, "X-Leaving": {"true"}}, 3, 5, true},
-		"none":      {http.Header{}, -1, 0, false},
-		"malformed": {http.Header{"X-Load-Requests": {"-3"}, "X-Incarnation": {"x"}, "X-Leaving": {"true"}}, -1, 0, false},
+		"all fields": {http.Header{"X-Load-Requests": {"3"}, "X-Incarnation": {"5"}, "X-Leaving": {"true"}}, 3, 5, true},
+		"none":       {http.Header{}, -1, 0, false},
+		"malformed":  {http.Header{"X-Load-Requests": {"-3"}, "X-Incarnation": {"x"}, "X-Leaving": {"true"}}, -1, 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
-			r := sender.Report(tc.header)
+			r := sender.ParseHealth(tc.header)
 			i.Equal(r.Requests, tc.requests)
 			i.Equal(r.State.Incarnation, tc.incarnation)
 			i.Equal(r.State.Leaving, tc.leaving)
--- a/internal/splitter/splitter.go
+++ b/internal/splitter/splitter.go
@@ -1,4 +1,4 @@
-// Package splitter cuts a streamed answer into its events.
+// Package splitter splits a streamed answer into server-sent events.
 package splitter
 
 import (
@@ -10,14 +10,14 @@
 )
 
 const (
-	// maxEvent bounds one event; what is longer is no event.
-	maxEvent = 1 << 20
-	// bufferBytes holds a few of the usual events.
+	// maxEventBytes bounds one event, so that a stream without events cannot fill the memory.
+	maxEventBytes = 1 << 20
+	// bufferBytes has space for several events of usual size.
 	bufferBytes = 4 << 10
 )
 
-// ErrBroken means that the stream ended in the middle of an event, or is none.
-var ErrBroken = errors.New("the stream is broken")
+// ErrBroken means that the stream ended in the middle of an event, or that an event is too long.
+var ErrBroken = errors.New("the event stream is broken")
 
 var idField = []byte("id:") //nolint:gochecknoglobals // A constant.
 
@@ -31,9 +31,10 @@
 	return &Splitter{reader: bufio.NewReaderSize(r, bufferBytes)}
 }
 
-// Next returns the next event as it came, with the empty line that ends it, and
-// its ID, which is empty when it has none. At the end between two events it
-// returns io.EOF; it fails with ErrBroken when the stream ends elsewhere.
+// Next returns the next event as received, with the empty line that ends it, and
+// its ID, which is empty when the event has none. It returns io.EOF when the stream
+// ends after a complete event, and fails with ErrBroken when it ends elsewhere or
+// an event is longer than 1 MiB.
 func (s *Splitter) Next() (raw []byte, id string, err error) {
 	for {
 		l, err := s.reader.ReadBytes('\n')
@@ -42,14 +43,14 @@
 		}
 
 		if err != nil {
-			// Not marked on the error itself: an end in the middle of an event must
-			// not look like one between two.
-			return nil, "", errors.Mark(errors.Newf("the stream ended in an event: %v", err), ErrBroken)
+			// The error is formatted, not wrapped: io.EOF in the middle of an event
+			// must not be mistaken for the regular end of the stream.
+			return nil, "", errors.Mark(errors.Newf("the stream ended within an event: %v", err), ErrBroken)
 		}
 
 		raw = append(raw, l...)
-		if len(raw) > maxEvent {
-			return nil, "", errors.Mark(errors.New("an event is too long"), ErrBroken)
+		if len(raw) > maxEventBytes {
+			return nil, "", errors.Mark(errors.Newf("an event is longer than %d bytes", maxEventBytes), ErrBroken)
 		}
 
 		l = bytes.TrimRight(l, "\r\n")
@@ -63,7 +64,7 @@
 	}
 }
 
-// Ready says that the next event is here already, whole.
+// Ready reports whether the next event is buffered completely, so that Next does not block.
 func (s *Splitter) Ready() bool {
 	b, err := s.reader.Peek(s.reader.Buffered())
 
--- a/internal/splitter/splitter_test.go
+++ b/internal/splitter/splitter_test.go
@@ -17,14 +17,14 @@
 		ids    []string
 		err    error
 	}{
-		"two events":         {"id: 1\ndata: a\n\nid: 2\ndata: b\n\n", []string{"1", "2"}, io.EOF},
-		"no event":           {"", nil, io.EOF},
-		"line before the id": {"x-version: 3\nid: 1\n\n", []string{"1"}, io.EOF},
-		"no id":              {"data: a\n\n", []string{""}, io.EOF},
-		"crlf":               {"id:1\r\n\r\n", []string{"1"}, io.EOF},
-		"cut in a line":      {"id: 1\n\nid: 2\nda", []string{"1"}, splitter.ErrBroken},
-		"cut between lines":  {"id: 1\n\nid: 2\n", []string{"1"}, splitter.ErrBroken},
-		"too long":           {"data: " + strings.Repeat("x", 2<<20) + "\n\n", nil, splitter.ErrBroken},
+		"two events":              {"id: 1\ndata: a\n\nid: 2\ndata: b\n\n", []string{"1", "2"}, io.EOF},
+		"empty stream":            {"", nil, io.EOF},
+		"line before the ID":      {"x-version: 3\nid: 1\n\n", []string{"1"}, io.EOF},
+		"no ID":                   {"data: a\n\n", []string{""}, io.EOF},
+		"crlf":                    {"id:1\r\n\r\n", []string{"1"}, io.EOF},
+		"truncated in a line":     {"id: 1\n\nid: 2\nda", []string{"1"}, splitter.ErrBroken},
+		"truncated between lines": {"id: 1\n\nid: 2\n", []string{"1"}, splitter.ErrBroken},
+		"too long":                {"data: " + strings.Repeat("x", 2<<20) + "\n\n", nil, splitter.ErrBroken},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -42,7 +42,7 @@
 
 			_, _, err := s.Next()
 			is.True(errors.Is(err, x.err))
-			is.True(strings.HasPrefix(x.stream, all)) // Events go on as they came.
+			is.True(strings.HasPrefix(x.stream, all)) // Events are returned unchanged.
 		})
 	}
 }
--- a/internal/supervisor/notifier.go
+++ b/internal/supervisor/notifier.go
@@ -40,7 +40,7 @@
 	h.mu.Unlock()
 
 	if len(l) > 0 {
-		k.notifier.Replicate(x, wire.HandOver{Cell: x.ID, Places: wirePlacements(l)})
+		k.notifier.Replicate(x, wire.HandOver{Cell: x.ID, Placements: wirePlacements(l)})
 	}
 }
 
@@ -84,14 +84,14 @@
 	h.mu.Unlock()
 
 	if len(l) > 0 {
-		k.notifier.HandOver(x, wire.HandOver{Cell: x.ID, Places: wirePlacements(l)})
+		k.notifier.HandOver(x, wire.HandOver{Cell: x.ID, Placements: wirePlacements(l)})
 	}
 }
 
-func wirePlacements(l []placer.Chat) []wire.Place {
-	o := make([]wire.Place, len(l))
+func wirePlacements(l []placer.Chat) []wire.Placement {
+	o := make([]wire.Placement, len(l))
 	for i, c := range l {
-		o[i] = wire.Place{Chat: c.Chat, Target: c.Target, Tokens: uint32(c.Tokens)} //nolint:gosec // Not negative.
+		o[i] = wire.Placement{Chat: c.Chat, Target: c.Target, Tokens: uint32(c.Tokens)} //nolint:gosec // Not negative.
 	}
 
 	return o
@@ -109,6 +109,6 @@
 	h.mu.Unlock()
 
 	for _, y := range l {
-		k.notifier.ReportCellLoad(y, wire.CellLoad{From: x.ID, To: y.ID, Milli: uint64(a * unitsPerRequest), Weight: uint32(w)})
+		k.notifier.ReportCellLoad(y, wire.CellLoad{From: x.ID, To: y.ID, MilliRequests: uint64(a * unitsPerRequest), Weight: uint32(w)})
 	}
 }
--- a/internal/supervisor/placement.go
+++ b/internal/supervisor/placement.go
@@ -20,7 +20,7 @@
 }
 
 // EachCell calls f with the identifier and the placements of each cell.
-func (k *Supervisor) EachCell(f func(cell uint32, l []wire.Place)) {
+func (k *Supervisor) EachCell(f func(cell uint32, l []wire.Placement)) {
 	for id, h := range k.snapshot() {
 		h.mu.Lock()
 		l, _ := h.granter.Placements().Scan(0, math.MaxInt)
--- a/internal/supervisor/request.go
+++ b/internal/supervisor/request.go
@@ -13,17 +13,17 @@
 )
 
 // Reserve decides on the request of an entry router to reserve a slot. It fails with ErrUnknownCell.
-func (k *Supervisor) Reserve(now time.Time, entry uint64, w wire.Ask) (wire.Verdict, error) {
+func (k *Supervisor) Reserve(now time.Time, entry uint64, w wire.SlotRequest) (wire.SlotReply, error) {
 	f := k.force()
 
 	h, err := k.home(now, f, w.Cell)
 	if err != nil {
-		return wire.Verdict{}, err
+		return wire.SlotReply{}, err
 	}
 
 	r := f.Matcher.Rule(w.Rule)
 	if r == nil {
-		return wire.Verdict{}, ErrUnknownCell
+		return wire.SlotReply{}, ErrUnknownCell
 	}
 
 	h.mu.Lock()
@@ -40,10 +40,10 @@
 		Hint:      w.Hint,
 		Allowed:   allowed(f.Matcher, r),
 		Excluded:  w.Excluded,
-		Forwarded: w.Sent,
+		Forwarded: w.Forwarded,
 	})
 
-	return wire.Verdict{
+	return wire.SlotReply{
 		Reason: uint8(v.Reason), Target: v.Target | v.Cell, Flags: flags(v),
 		RetryAfterMs: uint32(v.RetryAfter.Milliseconds()), //nolint:gosec // A few seconds.
 	}, nil
@@ -66,9 +66,9 @@
 }
 
 // BackOff starts the backoff of a target that has asked an entry router for one.
-func (k *Supervisor) BackOff(now time.Time, w wire.Rest) {
+func (k *Supervisor) BackOff(now time.Time, w wire.Backoff) {
 	k.withCell(now, w.Cell, func(h *home) {
-		h.granter.BackOff(now, w.Target, time.Duration(w.ForMs)*time.Millisecond)
+		h.granter.BackOff(now, w.Target, time.Duration(w.DurationMs)*time.Millisecond)
 	})
 }
 
@@ -108,7 +108,7 @@
 // ReportCell applies the load report of another cell of the pool.
 func (k *Supervisor) ReportCell(now time.Time, w wire.CellLoad) {
 	k.withCell(now, w.To, func(h *home) {
-		h.granter.ReportCell(now, w.From, float64(w.Milli)/unitsPerRequest, float64(w.Weight))
+		h.granter.ReportCell(now, w.From, float64(w.MilliRequests)/unitsPerRequest, float64(w.Weight))
 	})
 }
 
@@ -118,7 +118,7 @@
 	k.withCell(now, w.Cell, func(h *home) {
 		h.holder = from
 
-		for _, p := range w.Places {
+		for _, p := range w.Placements {
 			h.granter.RecordPlacement(now, p.Chat, placer.Placement{Target: p.Target, Tokens: int(p.Tokens)})
 		}
 	})
@@ -132,7 +132,7 @@
 	}
 
 	if v.ReportDue {
-		f |= wire.FlagTell
+		f |= wire.FlagReportDue
 	}
 
 	return f
--- a/internal/supervisor/supervisor_test.go
+++ b/internal/supervisor/supervisor_test.go
@@ -52,14 +52,14 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 
-	o.handed += len(w.Places)
+	o.handed += len(w.Placements)
 }
 
 func (o *peersAndTargets) Replicate(_ *matcher.Cell, w wire.HandOver) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 
-	o.replicated += len(w.Places)
+	o.replicated += len(w.Placements)
 }
 
 // placementCounts returns the number of placements that were replicated and handed over.
@@ -97,8 +97,8 @@
 	return &follower.Config{State: &reducer.State{Revision: 1, Document: d}, Matcher: matcher.New(&d)}
 }
 
-func request(f *follower.Config, seq uint32) wire.Ask {
-	return wire.Ask{Seq: seq, Cell: f.Matcher.Cells()[0].ID, Rule: hasher.Name("r"), Chat: uint64(seq), Prompt: 100}
+func request(f *follower.Config, seq uint32) wire.SlotRequest {
+	return wire.SlotRequest{Seq: seq, Cell: f.Matcher.Cells()[0].ID, Rule: hasher.Name("r"), Chat: uint64(seq), Prompt: 100}
 }
 
 // allAssignedTo checks that all new chats are assigned to one target.
@@ -276,6 +276,6 @@
 
 	allAssignedTo(t, k, f, "e1")
 
-	_, err = k.Reserve(time.Now(), 1, wire.Ask{Cell: 12345})
+	_, err = k.Reserve(time.Now(), 1, wire.SlotRequest{Cell: 12345})
 	i.True(errors.Is(err, supervisor.ErrUnknownCell))
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,31 +1,31 @@
-// Package wire holds the messages that instances send to each other.
+// Package wire defines the messages that instances send to each other.
 //
 // This file is the schema; wire_gen.go is generated from it. Messages are
-// msgpack tuples: fields are known by their position, so a field is only ever
-// added at the end of a message and never removed.
+// msgpack tuples: fields are identified by their position, so a field may only be
+// added at the end of a message, and none may be removed or moved.
 package wire
 
 import "github.com/tinylib/msgp/msgp"
 
 //go:generate msgp -tests=false -o wire_gen.go
 
-//msgp:tuple Hello Frame Member Beat Gossip Ask Verdict Release Report Rest Grant Sync Claim ClaimReply Settle SettleReply StateRequest StateReply Place HandOver CellLoad ClaimRecord StreamRequest StreamReply StreamRecord StreamRecords News Holder Load Gone Reserve Room Vacate Occupancy Suspects Suspect SuspectEnd SuspectsRequest ShelvedSuspect Trial TrialReply ReleaseRequest ReleaseReply EvacuationsRequest EvacuationsReply Evacuation
+//msgp:tuple Hello Frame Member Heartbeat Gossip SlotRequest SlotReply Release Report Backoff Grant Sync Claim ClaimReply Settle SettleReply StateRequest StateReply Placement HandOver CellLoad ClaimRecord StreamRequest StreamReply StreamRecord StreamRecords Update Holder LoadReport Gone Reserve ReserveReply Vacate Occupancy Suspects Suspect SuspectCrash SuspectsRequest QuarantineRecord Trial TrialReply ReleaseRequest ReleaseReply EvacuationsRequest EvacuationsReply Evacuation
 
-// A list's length is believed before its elements are there: ten bytes of a peer that claim four
-// thousand million of them would end whoever reads them for want of memory, each time that they
-// are told. No message has a list near this long. The bound holds for bytes too, and a value may
-// be as long as a frame: its field says so.
+// The decoder allocates a list from its declared length before it reads the elements. Without a
+// limit, a message of ten bytes that declares 2^32 elements would exhaust the receiver's memory.
+// No message has a list near the limit. It applies to byte slices too, so fields whose value may
+// be as long as a frame set a limit of their own.
 //
 //msgp:limit arrays:65536 marshal:false
 
-// Kind says what a frame's body is.
+// Kind is the type of a frame's body. The numbers are part of the protocol.
 type Kind uint8
 
 // The kinds of frame.
 const (
 	KindReply Kind = iota
 	KindGossip
-	KindAsk
+	KindSlotRequest
 	KindRelease
 	KindReport
 	KindSync
@@ -36,58 +36,58 @@
 	KindCellLoad
 	// KindHello is the first frame on a connection.
 	KindHello
-	// KindError is a reply that carries no body: the peer could not answer.
+	// KindError is a reply without a body: the peer could not handle the request.
 	KindError
-	// KindStream asks for the records of a stream.
+	// KindStream requests the records of a stream.
 	KindStream
-	// KindNews tells where prompts are and how loaded targets are.
-	KindNews
-	// KindGone tells that processes of targets are gone.
+	// KindUpdate reports which targets have cached which prompt prefixes, and the load of targets.
+	KindUpdate
+	// KindGone reports that processes of targets are gone.
 	KindGone
-	// KindRelay is KindNews for all instances of the receiver's data centre, which it
-	// passes it on to as KindNews.
-	KindRelay
-	// KindReserve asks the home of a target for room for a call.
+	// KindUpdateRelay is KindUpdate for all instances of the receiver's data centre. The receiver
+	// forwards it to them as KindUpdate.
+	KindUpdateRelay
+	// KindReserve requests a slot for a call from the home of a target (home node).
 	KindReserve
-	// KindVacate ends such a reservation.
+	// KindVacate releases such a reservation.
 	KindVacate
-	// KindOccupancy tells the home of a target how loaded that is.
+	// KindOccupancy reports the load of a target to its home.
 	KindOccupancy
-	// KindSuspects tells of calls under which targets have ended.
+	// KindSuspects reports calls during which targets crashed.
 	KindSuspects
 	// KindSuspectsRelay is KindSuspects for all instances of the receiver's data centre.
 	KindSuspectsRelay
-	// KindSuspectsRequest asks for all that an instance knows of such calls.
+	// KindSuspectsRequest requests all records that an instance has of such calls.
 	KindSuspectsRequest
-	// KindTrial asks the home of a suspected call whether it may be sent, or tells that it was.
+	// KindTrial requests a trial of a suspected call from its home, or reports that the trial is finished.
 	KindTrial
-	// KindReleaseRequest asks to release calls that are held back.
+	// KindReleaseRequest requests the release of quarantined calls.
 	KindReleaseRequest
-	// KindEvacuations asks which data centres are evacuated.
+	// KindEvacuations requests the list of evacuated data centres.
 	KindEvacuations
-	// KindLeaving tells, as a Gone, of processes of targets that said that they leave.
+	// KindLeaving reports, with a body like that of KindGone, processes of targets that announced their shutdown.
 	KindLeaving
-	// KindRest tells the home of a cell that a target has asked for rest.
-	KindRest
-	// Kinds is how many kinds there are.
+	// KindBackoff reports to the home of a cell that a target requested a backoff.
+	KindBackoff
+	// Kinds is the number of kinds.
 	Kinds
 )
 
-// Hello is the first message on a connection and says who sends on it, so that
-// the others need not.
+// Hello is the first message on a connection. It identifies the sender of all
+// further frames on the connection.
 type Hello struct {
 	From uint64
 }
 
-// Frame is what goes over a connection, after its length as a varint. ID pairs a
-// reply with its request; zero asks for no reply.
+// Frame is the unit of transfer on a connection, preceded by its length as a
+// varint. ID matches a reply to its request; zero means that no reply is expected.
 type Frame struct {
 	Kind Kind
 	ID   uint32
 	Body msgp.Raw
 }
 
-// Member introduces a router.
+// Member describes a router to instances that do not know it yet.
 type Member struct {
 	ID         uint64
 	Address    string
@@ -95,27 +95,27 @@
 	DataCentre string
 }
 
-// Beat is the sign of life of a router that the receiver has been introduced
-// to.
-type Beat struct {
+// Heartbeat reports that a router, which the receiver knows as a Member, is alive.
+type Heartbeat struct {
 	ID uint64
-	// Count goes up while the router lives.
+	// Count increases while the router is alive.
 	Count uint32
-	// Leaving says that the router is stopping as planned.
+	// Leaving reports that the router is shutting down as planned.
 	Leaving bool
 }
 
-// Gossip carries the beats of a few routers and the revision in force at the
-// sender. Unknown lists routers that the sender wants to be introduced to.
+// Gossip carries the heartbeats of some routers and the configuration revision in
+// force at the sender. Unknown lists the IDs of routers whose Member the sender
+// requests.
 type Gossip struct {
-	Revision uint64
-	Beats    []Beat
-	Members  []Member
-	Unknown  []uint64
+	Revision   uint64
+	Heartbeats []Heartbeat
+	Members    []Member
+	Unknown    []uint64
 }
 
-// Ask asks a cell's home for a place. The entry that asks is the sender.
-type Ask struct {
+// SlotRequest requests a slot from the home of a cell. The requester is the sender.
+type SlotRequest struct {
 	Seq      uint32
 	Cell     uint32
 	Rule     uint32
@@ -124,30 +124,31 @@
 	Prompt   uint32
 	Hint     uint32
 	Excluded []uint32
-	// WaitedMs is how long the request has waited for its place already.
+	// WaitedMs is how long the request has waited for a slot so far.
 	WaitedMs uint32
-	// Sent says that another cell's home sent the request here.
-	Sent bool
+	// Forwarded reports that the home of another cell redirected the request to this one.
+	Forwarded bool
 }
 
-// Verdict answers an Ask. Reason is a granter.Reason. When it sends the request
-// elsewhere, Target is the cell to ask. Flags are FlagReturned and FlagTell.
-type Verdict struct {
+// SlotReply is the reply to a request for a slot. Reason is a granter.Reason. When it
+// redirects the request, Target is the ID of the cell to request from. Flags are a
+// combination of the Flag constants.
+type SlotReply struct {
 	Reason       uint8
 	Target       uint32
 	Flags        uint8
 	RetryAfterMs uint32
 }
 
-// The flags of a Verdict.
+// The flags of the reply to a request for a slot.
 const (
-	// FlagReturned says that the target holds the chat's prefix.
+	// FlagReturned means that the target has cached the chat's prompt prefix.
 	FlagReturned uint8 = 1 << iota
-	// FlagTell asks for a Report when the target's answer begins.
-	FlagTell
+	// FlagReportDue requests a Report when the target's answer begins.
+	FlagReportDue
 )
 
-// Release ends a grant.
+// Release returns a granted slot. NeverSent reports that the call was certainly not sent.
 type Release struct {
 	Seq       uint32
 	Cell      uint32
@@ -155,15 +156,15 @@
 	NeverSent bool
 }
 
-// Rest passes on that a target has asked for rest as it turned a request away.
-type Rest struct {
-	Cell   uint32
-	Target uint32
-	ForMs  uint32
+// Backoff reports that a target refused a request and requested a backoff of DurationMs milliseconds.
+type Backoff struct {
+	Cell       uint32
+	Target     uint32
+	DurationMs uint32
 }
 
-// Report passes on what a target said of itself as its answer began. Requests is
-// negative when it reports no load, Incarnation zero when nothing is new.
+// Report forwards the state that a target reported when its answer began. A negative
+// Requests means no load report, an Incarnation of zero no change of state.
 type Report struct {
 	Cell        uint32
 	Target      uint32
@@ -172,21 +173,22 @@
 	Leaving     bool
 }
 
-// Grant is one place that an entry holds.
+// Grant is one slot that an instance has been granted.
 type Grant struct {
 	Seq      uint32
 	Target   uint32
 	Customer uint32
 }
 
-// Sync lists all places that an entry holds in a cell, of those up to a number.
+// Sync lists all slots that an instance holds in a cell, among those with a
+// sequence number of at most UpTo.
 type Sync struct {
 	Cell   uint32
 	UpTo   uint32
 	Grants []Grant
 }
 
-// Claim asks the home of a key's partition to claim it.
+// Claim requests the home of a key's partition to claim the key.
 type Claim struct {
 	Key        uint64
 	Body       uint64
@@ -194,7 +196,7 @@
 	DeadlineMs int64
 }
 
-// ClaimReply answers a Claim. State is a claimer.Outcome.
+// ClaimReply is the reply to a Claim. State is a claimer.Outcome.
 type ClaimReply struct {
 	State        uint8
 	Status       int
@@ -204,7 +206,7 @@
 	RetryAfterMs uint32
 }
 
-// Settle records how a claimed call ended.
+// Settle requests that the outcome of a claimed call be recorded.
 type Settle struct {
 	Key         uint64
 	ID          uint64
@@ -215,48 +217,49 @@
 	Truncated   bool
 }
 
-// SettleReply says whether the record is in the log.
+// SettleReply reports whether the outcome was recorded in the log.
 type SettleReply struct {
 	Recorded bool
 }
 
-// StateRequest asks for the configuration state that a peer holds, when it is
-// newer than a revision.
+// StateRequest requests the configuration state of a peer, if it is newer than a
+// revision.
 type StateRequest struct {
 	Newer uint64
 }
 
-// StateReply carries a reducer.State as JSON, and the offset up to which the
-// peer has folded. An empty body means nothing newer.
+// StateReply carries a reducer.State as JSON, and the offset of the first record
+// that the peer has not applied. An empty body means that it has nothing newer.
 type StateReply struct {
 	Next uint64
 	Body []byte `msg:"Body,limit=16777216"`
 }
 
-// Place is one remembered chat.
-type Place struct {
+// Placement records which target served a chat last.
+type Placement struct {
 	Chat   uint64
 	Target uint32
 	Tokens uint32
 }
 
-// HandOver passes places of a cell to its next home.
+// HandOver transfers placements of a cell to its next home.
 type HandOver struct {
-	Cell   uint32
-	Places []Place
+	Cell       uint32
+	Placements []Placement
 }
 
-// CellLoad tells the homes of a pool's other cells of the load on one: the work
-// in flight in thousandths of a request, and how many requests it runs at once.
+// CellLoad reports the load of a cell to the homes of the other cells of its pool.
+// The work in flight is in thousandths of a request; Weight is the number of requests
+// that the cell can run at once.
 type CellLoad struct {
-	From   uint32
-	To     uint32
-	Milli  uint64
-	Weight uint32
+	From          uint32
+	To            uint32
+	MilliRequests uint64
+	Weight        uint32
 }
 
-// ClaimRecord is one entry of a claims stream in the platform's log: a claim, or
-// how it was settled, when Settled is a claimer.Outcome other than zero.
+// ClaimRecord is one entry of a claims stream in the platform's log: a claim or,
+// when Settled is not zero, its outcome. Settled is a claimer.Outcome.
 type ClaimRecord struct {
 	Key         uint64
 	ID          uint64
@@ -269,41 +272,43 @@
 	Truncated   bool
 }
 
-// StreamRequest asks an instance for the records of a stream that it has read,
-// from an offset on. It waits for one up to a time. With From below zero it asks
-// for the newest record of each key.
+// StreamRequest requests the records of a stream that an instance has read, from an
+// offset on. The receiver waits up to WaitMs for a record. A negative From requests
+// the newest record of each key.
 type StreamRequest struct {
 	Stream string
 	From   int64
 	WaitMs uint32
 }
 
-// StreamReply carries records in their order, and the offset after the last. With
-// Whole they are the newest of each key, and keys that are not among them are
-// gone. AgeMs is how long ago the sender last heard from the platform. Packed holds, when
-// it is not empty, the records in place of Records: a StreamRecords, compressed by DEFLATE.
+// StreamReply carries records in order, and the offset after the last. Either they
+// follow the requested offset or they are a snapshot: the newest record of each key,
+// where keys that are missing were removed.
+// AgeMs is how long ago the sender last received from the platform. Packed, unless it
+// is empty, replaces Records: a StreamRecords, compressed by DEFLATE.
 //
-// With Elsewhere there are records, and the instance at that address has them; the sender's link is taken.
-// ComingMs is how long ago something last arrived of an answer on its way to the sender, or to whom the sender
-// reads through: it knows more in a moment when that is short.
+// A reply may redirect the requester to the address of another instance that has the
+// records, since the sender's link has no capacity left. LastArrivalMs is how long ago the
+// sender last received a part of a reply that is still being transferred to it or to its
+// upstream instance: while that is short, the sender is about to have newer records.
 type StreamReply struct {
-	Next    int64
-	Whole   bool
-	AgeMs   uint32
-	Records []StreamRecord
-	Packed  []byte `msg:"Packed,limit=16777216"`
+	Next     int64
+	Snapshot bool
+	AgeMs    uint32
+	Records  []StreamRecord
+	Packed   []byte `msg:"Packed,limit=16777216"`
 
-	Elsewhere string
-	ComingMs  uint32
+	RedirectTo    string
+	LastArrivalMs uint32
 }
 
-// StreamRecords are records in their order.
+// StreamRecords is a list of records in order.
 type StreamRecords struct {
 	Records []StreamRecord
 }
 
-// StreamRecord is one record. Without a value its key was dropped. With Packed the
-// value is compressed by DEFLATE.
+// StreamRecord is one record. An empty value means that its key was removed. When Packed
+// is set the value is compressed by DEFLATE.
 type StreamRecord struct {
 	Key    string
 	Value  []byte `msg:"Value,limit=16777216"`
@@ -311,156 +316,158 @@
 	Packed bool
 }
 
-// News tells other instances which targets the sender has given beginnings of
-// prompts to lately, and what targets told it of their load.
-type News struct {
+// Update notifies other instances to which targets the sender sent which prompt prefixes
+// lately, and of the load that targets reported to it.
+type Update struct {
 	Holders []Holder
-	Loads   []Load
+	Loads   []LoadReport
 }
 
-// Gone tells of processes at whose addresses the sender met other targets: the IDs of their
-// targets, and when they started in Unix milliseconds, the zero time's where that is not
-// known. Both lists are of one length.
+// Gone reports processes that are gone, since the sender found other targets at their
+// addresses: the IDs of their targets, and when they started in Unix milliseconds, or the
+// zero time's value where that is unknown. Both lists have the same length.
 type Gone struct {
 	Targets  []string
 	StartsMs []int64
 }
 
-// Holder says that a target holds a beginning of prompts. Target is the short name of
-// its process, the same at all instances.
+// Holder reports that a target has cached a prompt prefix. Target is the short name of
+// the target's process, which is the same at all instances.
 type Holder struct {
 	Key    uint64
 	Target uint32
 }
 
-// Load says how many calls a target had, running and waiting, and how long ago it
-// said so. Target is as in Holder.
-type Load struct {
+// LoadReport is the load of a target: the number of its calls, running and waiting, and
+// how long ago it reported them. Target is as in Holder.
+type LoadReport struct {
 	Target uint32
 	Calls  uint32
 	AgeMs  uint32
 }
 
-// Reserve asks the home of a target for room for one call. Target is as in Holder, Number
-// the sender's own for the reservation. Most is how many calls the target may have with
-// this one, and WithinMs when it is over at the latest. Usual is how long targets of the
-// group take to begin an answer, in hundredths of the time within which it is of full use.
-// Anyway asks for room though the target is to be left alone.
+// Reserve requests a slot for one call from the home of a target. Target is as in Holder;
+// Number is the sender's own number of the reservation. The maximum number of calls at the
+// target includes this one, and the reservation expires at the end of its lifetime. The median
+// latency is that of the group's targets, in hundredths of the time within which an answer is
+// of full use. A slot at an excluded target is granted only if the request allows it.
 type Reserve struct {
-	Target   uint32
-	Number   uint64
-	Most     uint32
-	WithinMs uint32
-	Usual    uint32
-	Anyway   bool
+	Target        uint32
+	Number        uint64
+	MaxCalls      uint32
+	LifetimeMs    uint32
+	MedianLatency uint32
+	AllowExcluded bool
 }
 
-// Room answers a Reserve: what became of it, as aggregator.Outcome counts, how many calls the
-// target has, and how long it takes to begin an answer, in hundredths as in Reserve, zero
-// when that is not known.
-type Room struct {
+// ReserveReply is the reply to a Reserve: an aggregator.Outcome, the number of calls at the target,
+// and the target's latency in hundredths as in Reserve, zero when it is unknown.
+type ReserveReply struct {
 	Outcome uint8
 	Calls   uint32
-	Pace    uint32
+	Latency uint32
 }
 
-// Vacate ends the reservation of that number. Sign is what the call showed of the target, as
-// aggregator.Sign counts, and Pace how long its answer took to begin, in hundredths as in
-// Reserve, zero when it did not begin.
+// Vacate releases the reservation of that number, with an aggregator.Result, which states what
+// the call showed about the target, and the latency of the answer in hundredths as in Reserve,
+// zero when no answer began.
 type Vacate struct {
-	Target uint32
-	Number uint64
-	Sign   uint8
-	Pace   uint32
+	Target  uint32
+	Number  uint64
+	Result  uint8
+	Latency uint32
 }
 
-// Occupancy is how many calls a target said just now that it has, running and waiting.
+// Occupancy is the number of calls, running and waiting, that a target has just reported.
 type Occupancy struct {
 	Target uint32
 	Calls  uint32
 }
 
-// Suspects tells of calls under which targets have ended. As an answer it has the sender's
-// State; the asker tells what that lacks. Informed says that the sender knows what was held back
-// before it started.
+// Suspects reports calls during which targets crashed. As a reply it carries the fingerprint of
+// the sender's records, and the requester then sends the records that the sender lacks. The
+// sender also reports whether it has received the records from before its start.
 type Suspects struct {
-	Calls    []Suspect
-	State    uint64
-	Informed bool
+	Calls       []Suspect
+	Fingerprint uint64
+	Synced      bool
 }
 
-// Suspect is one such call, by its digest, how long ago it last came, and the ends.
+// Suspect is one such call: its digest, how long ago it was last received, and the crashes.
 type Suspect struct {
-	Call   uint64
-	SeenMs uint32
-	Ends   []SuspectEnd
+	Call       uint64
+	LastSeenMs uint32
+	Crashes    []SuspectCrash
 }
 
-// SuspectEnd is the end of a process, by its short name as in Holder, how long ago it was, and
-// whether the call was served since, and whether it had been served shortly before.
-type SuspectEnd struct {
-	Target  uint32
-	AgeMs   uint32
-	Excused bool
-	Known   bool
+// SuspectCrash is a crash of a process, by its short name as in Holder, and how long ago it
+// was. The flags report whether the call was served since, and whether it had been served
+// shortly before.
+type SuspectCrash struct {
+	Target       uint32
+	AgeMs        uint32
+	Cleared      bool
+	ServedBefore bool
 }
 
-// SuspectsRequest asks for all Suspects that an instance knows of, unless its state is the
-// asker's own.
+// SuspectsRequest requests all Suspects of an instance. The reply has none when the fingerprint
+// of the requester's records equals that of the receiver's.
 type SuspectsRequest struct {
-	State uint64
+	Fingerprint uint64
 }
 
-// ShelvedSuspect is a Suspect as it is kept outside of the instances, with the time to which its
-// ages go, in Unix milliseconds.
-type ShelvedSuspect struct {
+// QuarantineRecord is a Suspect as it is stored outside the instances. Its ages are relative
+// to WrittenMs, in Unix milliseconds.
+type QuarantineRecord struct {
 	Suspect   Suspect
 	WrittenMs int64
 }
 
-// Trial asks the home of a suspected call whether it may be sent to a target now; with Over it
-// tells that the target has answered, or has ended. Known is what the sender knows of the call.
+// Trial requests permission from the home of a suspected call to send it to a target now.
+// When the trial is finished, it reports instead that the target has answered or crashed. Known
+// are the sender's records of the call.
 type Trial struct {
-	Call  uint64
-	Over  bool
-	Known Suspects
+	Call     uint64
+	Finished bool
+	Known    Suspects
 }
 
-// TrialReply answers a Trial that is not over, with what the home knows of the call.
+// TrialReply is the reply to a request for a trial, with the home's records of the call.
 type TrialReply struct {
 	Granted bool
 	Known   Suspects
 }
 
-// ReleaseRequest asks to release calls that are held back, those of the digests or, with All,
-// every one.
+// ReleaseRequest requests the release of quarantined calls: those of the digests or, when All
+// is set, all of them.
 type ReleaseRequest struct {
 	Calls []uint64
 	All   bool
 }
 
-// ReleaseReply says which calls were released.
+// ReleaseReply lists the digests of the calls that were released.
 type ReleaseReply struct {
 	Calls []uint64
 }
 
-// EvacuationsRequest asks which data centres an instance takes to be evacuated, or whether one of
-// them is.
+// EvacuationsRequest requests the data centres that an instance considers evacuated. An empty
+// DataCentre requests all of them, another only that one.
 type EvacuationsRequest struct {
 	DataCentre string
 }
 
-// EvacuationsReply lists them.
+// EvacuationsReply lists the evacuated data centres.
 type EvacuationsReply struct {
 	Evacuations []Evacuation
 }
 
-// Evacuation is a data centre that takes no calls, with how long the instance has known it, how many
-// targets it has, and how many calls run there: those of the instance, and its estimate of all.
+// Evacuation is a data centre that is sent no new calls: how long the instance has known of it,
+// the number of its targets, and the calls that run there: those of the instance itself, and its
+// estimate for all instances.
 type Evacuation struct {
 	DataCentre string
 	AgeMs      uint64
 	Targets    uint32
-	Own        uint32
-	All        uint32
+	OwnCalls   uint32
+	AllCalls   uint32
 }
