--- a/internal/wire/wire_gen.go
+++ b/internal/wire/wire_gen.go
@@ -12,7 +12,7 @@
 )
 
 // DecodeMsg implements msgp.Decodable
-func (z *Ask) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *Backoff) DecodeMsg(dc *msgp.Reader) (err error) {
 	var zb0001 uint32
 	zb0001, err = dc.ReadArrayHeader()
 	if err != nil {
@@ -23,13 +23,8 @@
 		err = msgp.ErrLimitExceeded
 		return
 	}
-	if zb0001 != 10 {
-		err = msgp.ArrayError{Wanted: 10, Got: zb0001}
-		return
-	}
-	z.Seq, err = dc.ReadUint32()
-	if err != nil {
-		err = msgp.WrapError(err, "Seq")
+	if zb0001 != 3 {
+		err = msgp.ArrayError{Wanted: 3, Got: zb0001}
 		return
 	}
 	z.Cell, err = dc.ReadUint32()
@@ -37,231 +32,203 @@
 		err = msgp.WrapError(err, "Cell")
 		return
 	}
-	z.Rule, err = dc.ReadUint32()
+	z.Target, err = dc.ReadUint32()
 	if err != nil {
-		err = msgp.WrapError(err, "Rule")
+		err = msgp.WrapError(err, "Target")
 		return
 	}
-	z.Customer, err = dc.ReadUint32()
+	z.DurationMs, err = dc.ReadUint32()
 	if err != nil {
-		err = msgp.WrapError(err, "Customer")
+		err = msgp.WrapError(err, "DurationMs")
 		return
 	}
-	z.Chat, err = dc.ReadUint64()
+	return
+}
+
+// EncodeMsg implements msgp.Encodable
+func (z Backoff) EncodeMsg(en *msgp.Writer) (err error) {
+	// array header, size 3
+	err = en.Append(0x93)
 	if err != nil {
-		err = msgp.WrapError(err, "Chat")
 		return
 	}
-	z.Prompt, err = dc.ReadUint32()
+	err = en.WriteUint32(z.Cell)
 	if err != nil {
-		err = msgp.WrapError(err, "Prompt")
+		err = msgp.WrapError(err, "Cell")
 		return
 	}
-	z.Hint, err = dc.ReadUint32()
+	err = en.WriteUint32(z.Target)
 	if err != nil {
-		err = msgp.WrapError(err, "Hint")
+		err = msgp.WrapError(err, "Target")
 		return
 	}
-	var zb0002 uint32
-	zb0002, err = dc.ReadArrayHeader()
+	err = en.WriteUint32(z.DurationMs)
 	if err != nil {
-		err = msgp.WrapError(err, "Excluded")
+		err = msgp.WrapError(err, "DurationMs")
 		return
 	}
-	if zb0002 > z5817a858limitArrays {
-		err = msgp.ErrLimitExceeded
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z Backoff) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// array header, size 3
+	o = append(o, 0x93)
+	o = msgp.AppendUint32(o, z.Cell)
+	o = msgp.AppendUint32(o, z.Target)
+	o = msgp.AppendUint32(o, z.DurationMs)
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *Backoff) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
 		return
 	}
-	if cap(z.Excluded) >= int(zb0002) {
-		z.Excluded = (z.Excluded)[:zb0002]
-	} else {
-		z.Excluded = make([]uint32, zb0002)
+	if zb0001 != 3 {
+		err = msgp.ArrayError{Wanted: 3, Got: zb0001}
+		return
 	}
-	for za0001 := range z.Excluded {
-		z.Excluded[za0001], err = dc.ReadUint32()
-		if err != nil {
-			err = msgp.WrapError(err, "Excluded", za0001)
-			return
-		}
+	z.Cell, bts, err = msgp.ReadUint32Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Cell")
+		return
 	}
-	z.WaitedMs, err = dc.ReadUint32()
+	z.Target, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "WaitedMs")
+		err = msgp.WrapError(err, "Target")
 		return
 	}
-	z.Sent, err = dc.ReadBool()
+	z.DurationMs, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Sent")
+		err = msgp.WrapError(err, "DurationMs")
 		return
 	}
+	o = bts
 	return
 }
 
-// EncodeMsg implements msgp.Encodable
-func (z *Ask) EncodeMsg(en *msgp.Writer) (err error) {
-	// array header, size 10
-	err = en.Append(0x9a)
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z Backoff) Msgsize() (s int) {
+	s = 1 + msgp.Uint32Size + msgp.Uint32Size + msgp.Uint32Size
+	return
+}
+
+// DecodeMsg implements msgp.Decodable
+func (z *CellLoad) DecodeMsg(dc *msgp.Reader) (err error) {
+	var zb0001 uint32
+	zb0001, err = dc.ReadArrayHeader()
 	if err != nil {
+		err = msgp.WrapError(err)
 		return
 	}
-	err = en.WriteUint32(z.Seq)
-	if err != nil {
-		err = msgp.WrapError(err, "Seq")
+	if zb0001 > z5817a858limitArrays {
+		err = msgp.ErrLimitExceeded
 		return
 	}
-	err = en.WriteUint32(z.Cell)
-	if err != nil {
-		err = msgp.WrapError(err, "Cell")
+	if zb0001 != 4 {
+		err = msgp.ArrayError{Wanted: 4, Got: zb0001}
 		return
 	}
-	err = en.WriteUint32(z.Rule)
+	z.From, err = dc.ReadUint32()
 	if err != nil {
-		err = msgp.WrapError(err, "Rule")
+		err = msgp.WrapError(err, "From")
 		return
 	}
-	err = en.WriteUint32(z.Customer)
+	z.To, err = dc.ReadUint32()
 	if err != nil {
-		err = msgp.WrapError(err, "Customer")
+		err = msgp.WrapError(err, "To")
 		return
 	}
-	err = en.WriteUint64(z.Chat)
+	z.MilliRequests, err = dc.ReadUint64()
 	if err != nil {
-		err = msgp.WrapError(err, "Chat")
+		err = msgp.WrapError(err, "MilliRequests")
 		return
 	}
-	err = en.WriteUint32(z.Prompt)
+	z.Weight, err = dc.ReadUint32()
 	if err != nil {
-		err = msgp.WrapError(err, "Prompt")
+		err = msgp.WrapError(err, "Weight")
 		return
 	}
-	err = en.WriteUint32(z.Hint)
+	return
+}
+
+// EncodeMsg implements msgp.Encodable
+func (z *CellLoad) EncodeMsg(en *msgp.Writer) (err error) {
+	// array header, size 4
+	err = en.Append(0x94)
 	if err != nil {
-		err = msgp.WrapError(err, "Hint")
 		return
 	}
-	err = en.WriteArrayHeader(uint32(len(z.Excluded)))
+	err = en.WriteUint32(z.From)
 	if err != nil {
-		err = msgp.WrapError(err, "Excluded")
+		err = msgp.WrapError(err, "From")
 		return
 	}
-	for za0001 := range z.Excluded {
-		err = en.WriteUint32(z.Excluded[za0001])
-		if err != nil {
-			err = msgp.WrapError(err, "Excluded", za0001)
-			return
-		}
+	err = en.WriteUint32(z.To)
+	if err != nil {
+		err = msgp.WrapError(err, "To")
+		return
 	}
-	err = en.WriteUint32(z.WaitedMs)
+	err = en.WriteUint64(z.MilliRequests)
 	if err != nil {
-		err = msgp.WrapError(err, "WaitedMs")
+		err = msgp.WrapError(err, "MilliRequests")
 		return
 	}
-	err = en.WriteBool(z.Sent)
+	err = en.WriteUint32(z.Weight)
 	if err != nil {
-		err = msgp.WrapError(err, "Sent")
+		err = msgp.WrapError(err, "Weight")
 		return
 	}
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Ask) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *CellLoad) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// array header, size 10
-	o = append(o, 0x9a)
-	o = msgp.AppendUint32(o, z.Seq)
-	o = msgp.AppendUint32(o, z.Cell)
-	o = msgp.AppendUint32(o, z.Rule)
-	o = msgp.AppendUint32(o, z.Customer)
-	o = msgp.AppendUint64(o, z.Chat)
-	o = msgp.AppendUint32(o, z.Prompt)
-	o = msgp.AppendUint32(o, z.Hint)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Excluded)))
-	for za0001 := range z.Excluded {
-		o = msgp.AppendUint32(o, z.Excluded[za0001])
-	}
-	o = msgp.AppendUint32(o, z.WaitedMs)
-	o = msgp.AppendBool(o, z.Sent)
+	// array header, size 4
+	o = append(o, 0x94)
+	o = msgp.AppendUint32(o, z.From)
+	o = msgp.AppendUint32(o, z.To)
+	o = msgp.AppendUint64(o, z.MilliRequests)
+	o = msgp.AppendUint32(o, z.Weight)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Ask) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *CellLoad) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var zb0001 uint32
 	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err)
 		return
 	}
-	if zb0001 != 10 {
-		err = msgp.ArrayError{Wanted: 10, Got: zb0001}
-		return
-	}
-	z.Seq, bts, err = msgp.ReadUint32Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Seq")
-		return
-	}
-	z.Cell, bts, err = msgp.ReadUint32Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Cell")
-		return
-	}
-	z.Rule, bts, err = msgp.ReadUint32Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Rule")
-		return
-	}
-	z.Customer, bts, err = msgp.ReadUint32Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Customer")
-		return
-	}
-	z.Chat, bts, err = msgp.ReadUint64Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Chat")
-		return
-	}
-	z.Prompt, bts, err = msgp.ReadUint32Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Prompt")
+	if zb0001 != 4 {
+		err = msgp.ArrayError{Wanted: 4, Got: zb0001}
 		return
 	}
-	z.Hint, bts, err = msgp.ReadUint32Bytes(bts)
+	z.From, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Hint")
+		err = msgp.WrapError(err, "From")
 		return
 	}
-	var zb0002 uint32
-	zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
+	z.To, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Excluded")
-		return
-	}
-	if zb0002 > z5817a858limitArrays {
-		err = msgp.ErrLimitExceeded
+		err = msgp.WrapError(err, "To")
 		return
 	}
-	if cap(z.Excluded) >= int(zb0002) {
-		z.Excluded = (z.Excluded)[:zb0002]
-	} else {
-		z.Excluded = make([]uint32, zb0002)
-	}
-	for za0001 := range z.Excluded {
-		z.Excluded[za0001], bts, err = msgp.ReadUint32Bytes(bts)
-		if err != nil {
-			err = msgp.WrapError(err, "Excluded", za0001)
-			return
-		}
-	}
-	z.WaitedMs, bts, err = msgp.ReadUint32Bytes(bts)
+	z.MilliRequests, bts, err = msgp.ReadUint64Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "WaitedMs")
+		err = msgp.WrapError(err, "MilliRequests")
 		return
 	}
-	z.Sent, bts, err = msgp.ReadBoolBytes(bts)
+	z.Weight, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Sent")
+		err = msgp.WrapError(err, "Weight")
 		return
 	}
 	o = bts
@@ -269,13 +236,13 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Ask) Msgsize() (s int) {
-	s = 1 + msgp.Uint32Size + msgp.Uint32Size + msgp.Uint32Size + msgp.Uint32Size + msgp.Uint64Size + msgp.Uint32Size + msgp.Uint32Size + msgp.ArrayHeaderSize + (len(z.Excluded) * (msgp.Uint32Size)) + msgp.Uint32Size + msgp.BoolSize
+func (z *CellLoad) Msgsize() (s int) {
+	s = 1 + msgp.Uint32Size + msgp.Uint32Size + msgp.Uint64Size + msgp.Uint32Size
 	return
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *Beat) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *Claim) DecodeMsg(dc *msgp.Reader) (err error) {
 	var zb0001 uint32
 	zb0001, err = dc.ReadArrayHeader()
 	if err != nil {
@@ -286,271 +253,41 @@
 		err = msgp.ErrLimitExceeded
 		return
 	}
-	if zb0001 != 3 {
-		err = msgp.ArrayError{Wanted: 3, Got: zb0001}
+	if zb0001 != 4 {
+		err = msgp.ArrayError{Wanted: 4, Got: zb0001}
 		return
 	}
-	z.ID, err = dc.ReadUint64()
+	z.Key, err = dc.ReadUint64()
 	if err != nil {
-		err = msgp.WrapError(err, "ID")
+		err = msgp.WrapError(err, "Key")
 		return
 	}
-	z.Count, err = dc.ReadUint32()
+	z.Body, err = dc.ReadUint64()
 	if err != nil {
-		err = msgp.WrapError(err, "Count")
+		err = msgp.WrapError(err, "Body")
 		return
 	}
-	z.Leaving, err = dc.ReadBool()
+	z.ID, err = dc.ReadUint64()
 	if err != nil {
-		err = msgp.WrapError(err, "Leaving")
+		err = msgp.WrapError(err, "ID")
+		return
+	}
+	z.DeadlineMs, err = dc.ReadInt64()
+	if err != nil {
+		err = msgp.WrapError(err, "DeadlineMs")
 		return
 	}
 	return
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z Beat) EncodeMsg(en *msgp.Writer) (err error) {
-	// array header, size 3
-	err = en.Append(0x93)
+func (z *Claim) EncodeMsg(en *msgp.Writer) (err error) {
+	// array header, size 4
+	err = en.Append(0x94)
 	if err != nil {
 		return
 	}
-	err = en.WriteUint64(z.ID)
-	if err != nil {
-		err = msgp.WrapError(err, "ID")
-		return
-	}
-	err = en.WriteUint32(z.Count)
-	if err != nil {
-		err = msgp.WrapError(err, "Count")
-		return
-	}
-	err = en.WriteBool(z.Leaving)
-	if err != nil {
-		err = msgp.WrapError(err, "Leaving")
-		return
-	}
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z Beat) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// array header, size 3
-	o = append(o, 0x93)
-	o = msgp.AppendUint64(o, z.ID)
-	o = msgp.AppendUint32(o, z.Count)
-	o = msgp.AppendBool(o, z.Leaving)
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *Beat) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	if zb0001 != 3 {
-		err = msgp.ArrayError{Wanted: 3, Got: zb0001}
-		return
-	}
-	z.ID, bts, err = msgp.ReadUint64Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "ID")
-		return
-	}
-	z.Count, bts, err = msgp.ReadUint32Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Count")
-		return
-	}
-	z.Leaving, bts, err = msgp.ReadBoolBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Leaving")
-		return
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z Beat) Msgsize() (s int) {
-	s = 1 + msgp.Uint64Size + msgp.Uint32Size + msgp.BoolSize
-	return
-}
-
-// DecodeMsg implements msgp.Decodable
-func (z *CellLoad) DecodeMsg(dc *msgp.Reader) (err error) {
-	var zb0001 uint32
-	zb0001, err = dc.ReadArrayHeader()
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	if zb0001 > z5817a858limitArrays {
-		err = msgp.ErrLimitExceeded
-		return
-	}
-	if zb0001 != 4 {
-		err = msgp.ArrayError{Wanted: 4, Got: zb0001}
-		return
-	}
-	z.From, err = dc.ReadUint32()
-	if err != nil {
-		err = msgp.WrapError(err, "From")
-		return
-	}
-	z.To, err = dc.ReadUint32()
-	if err != nil {
-		err = msgp.WrapError(err, "To")
-		return
-	}
-	z.Milli, err = dc.ReadUint64()
-	if err != nil {
-		err = msgp.WrapError(err, "Milli")
-		return
-	}
-	z.Weight, err = dc.ReadUint32()
-	if err != nil {
-		err = msgp.WrapError(err, "Weight")
-		return
-	}
-	return
-}
-
-// EncodeMsg implements msgp.Encodable
-func (z *CellLoad) EncodeMsg(en *msgp.Writer) (err error) {
-	// array header, size 4
-	err = en.Append(0x94)
-	if err != nil {
-		return
-	}
-	err = en.WriteUint32(z.From)
-	if err != nil {
-		err = msgp.WrapError(err, "From")
-		return
-	}
-	err = en.WriteUint32(z.To)
-	if err != nil {
-		err = msgp.WrapError(err, "To")
-		return
-	}
-	err = en.WriteUint64(z.Milli)
-	if err != nil {
-		err = msgp.WrapError(err, "Milli")
-		return
-	}
-	err = en.WriteUint32(z.Weight)
-	if err != nil {
-		err = msgp.WrapError(err, "Weight")
-		return
-	}
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z *CellLoad) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// array header, size 4
-	o = append(o, 0x94)
-	o = msgp.AppendUint32(o, z.From)
-	o = msgp.AppendUint32(o, z.To)
-	o = msgp.AppendUint64(o, z.Milli)
-	o = msgp.AppendUint32(o, z.Weight)
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *CellLoad) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	if zb0001 != 4 {
-		err = msgp.ArrayError{Wanted: 4, Got: zb0001}
-		return
-	}
-	z.From, bts, err = msgp.ReadUint32Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "From")
-		return
-	}
-	z.To, bts, err = msgp.ReadUint32Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "To")
-		return
-	}
-	z.Milli, bts, err = msgp.ReadUint64Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Milli")
-		return
-	}
-	z.Weight, bts, err = msgp.ReadUint32Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Weight")
-		return
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *CellLoad) Msgsize() (s int) {
-	s = 1 + msgp.Uint32Size + msgp.Uint32Size + msgp.Uint64Size + msgp.Uint32Size
-	return
-}
-
-// DecodeMsg implements msgp.Decodable
-func (z *Claim) DecodeMsg(dc *msgp.Reader) (err error) {
-	var zb0001 uint32
-	zb0001, err = dc.ReadArrayHeader()
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	if zb0001 > z5817a858limitArrays {
-		err = msgp.ErrLimitExceeded
-		return
-	}
-	if zb0001 != 4 {
-		err = msgp.ArrayError{Wanted: 4, Got: zb0001}
-		return
-	}
-	z.Key, err = dc.ReadUint64()
-	if err != nil {
-		err = msgp.WrapError(err, "Key")
-		return
-	}
-	z.Body, err = dc.ReadUint64()
-	if err != nil {
-		err = msgp.WrapError(err, "Body")
-		return
-	}
-	z.ID, err = dc.ReadUint64()
-	if err != nil {
-		err = msgp.WrapError(err, "ID")
-		return
-	}
-	z.DeadlineMs, err = dc.ReadInt64()
-	if err != nil {
-		err = msgp.WrapError(err, "DeadlineMs")
-		return
-	}
-	return
-}
-
-// EncodeMsg implements msgp.Encodable
-func (z *Claim) EncodeMsg(en *msgp.Writer) (err error) {
-	// array header, size 4
-	err = en.Append(0x94)
-	if err != nil {
-		return
-	}
-	err = en.WriteUint64(z.Key)
+	err = en.WriteUint64(z.Key)
 	if err != nil {
 		err = msgp.WrapError(err, "Key")
 		return
@@ -1054,14 +791,14 @@
 		err = msgp.WrapError(err, "Targets")
 		return
 	}
-	z.Own, err = dc.ReadUint32()
+	z.OwnCalls, err = dc.ReadUint32()
 	if err != nil {
-		err = msgp.WrapError(err, "Own")
+		err = msgp.WrapError(err, "OwnCalls")
 		return
 	}
-	z.All, err = dc.ReadUint32()
+	z.AllCalls, err = dc.ReadUint32()
 	if err != nil {
-		err = msgp.WrapError(err, "All")
+		err = msgp.WrapError(err, "AllCalls")
 		return
 	}
 	return
@@ -1089,14 +826,14 @@
 		err = msgp.WrapError(err, "Targets")
 		return
 	}
-	err = en.WriteUint32(z.Own)
+	err = en.WriteUint32(z.OwnCalls)
 	if err != nil {
-		err = msgp.WrapError(err, "Own")
+		err = msgp.WrapError(err, "OwnCalls")
 		return
 	}
-	err = en.WriteUint32(z.All)
+	err = en.WriteUint32(z.AllCalls)
 	if err != nil {
-		err = msgp.WrapError(err, "All")
+		err = msgp.WrapError(err, "AllCalls")
 		return
 	}
 	return
@@ -1110,8 +847,8 @@
 	o = msgp.AppendString(o, z.DataCentre)
 	o = msgp.AppendUint64(o, z.AgeMs)
 	o = msgp.AppendUint32(o, z.Targets)
-	o = msgp.AppendUint32(o, z.Own)
-	o = msgp.AppendUint32(o, z.All)
+	o = msgp.AppendUint32(o, z.OwnCalls)
+	o = msgp.AppendUint32(o, z.AllCalls)
 	return
 }
 
@@ -1142,14 +879,14 @@
 		err = msgp.WrapError(err, "Targets")
 		return
 	}
-	z.Own, bts, err = msgp.ReadUint32Bytes(bts)
+	z.OwnCalls, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Own")
+		err = msgp.WrapError(err, "OwnCalls")
 		return
 	}
-	z.All, bts, err = msgp.ReadUint32Bytes(bts)
+	z.AllCalls, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "All")
+		err = msgp.WrapError(err, "AllCalls")
 		return
 	}
 	o = bts
@@ -1689,23 +1426,23 @@
 	var zb0002 uint32
 	zb0002, err = dc.ReadArrayHeader()
 	if err != nil {
-		err = msgp.WrapError(err, "Beats")
+		err = msgp.WrapError(err, "Heartbeats")
 		return
 	}
 	if zb0002 > z5817a858limitArrays {
 		err = msgp.ErrLimitExceeded
 		return
 	}
-	if cap(z.Beats) >= int(zb0002) {
-		z.Beats = (z.Beats)[:zb0002]
+	if cap(z.Heartbeats) >= int(zb0002) {
+		z.Heartbeats = (z.Heartbeats)[:zb0002]
 	} else {
-		z.Beats = make([]Beat, zb0002)
+		z.Heartbeats = make([]Heartbeat, zb0002)
 	}
-	for za0001 := range z.Beats {
+	for za0001 := range z.Heartbeats {
 		var zb0003 uint32
 		zb0003, err = dc.ReadArrayHeader()
 		if err != nil {
-			err = msgp.WrapError(err, "Beats", za0001)
+			err = msgp.WrapError(err, "Heartbeats", za0001)
 			return
 		}
 		if zb0003 > z5817a858limitArrays {
@@ -1716,19 +1453,19 @@
 			err = msgp.ArrayError{Wanted: 3, Got: zb0003}
 			return
 		}
-		z.Beats[za0001].ID, err = dc.ReadUint64()
+		z.Heartbeats[za0001].ID, err = dc.ReadUint64()
 		if err != nil {
-			err = msgp.WrapError(err, "Beats", za0001, "ID")
+			err = msgp.WrapError(err, "Heartbeats", za0001, "ID")
 			return
 		}
-		z.Beats[za0001].Count, err = dc.ReadUint32()
+		z.Heartbeats[za0001].Count, err = dc.ReadUint32()
 		if err != nil {
-			err = msgp.WrapError(err, "Beats", za0001, "Count")
+			err = msgp.WrapError(err, "Heartbeats", za0001, "Count")
 			return
 		}
-		z.Beats[za0001].Leaving, err = dc.ReadBool()
+		z.Heartbeats[za0001].Leaving, err = dc.ReadBool()
 		if err != nil {
-			err = msgp.WrapError(err, "Beats", za0001, "Leaving")
+			err = msgp.WrapError(err, "Heartbeats", za0001, "Leaving")
 			return
 		}
 	}
@@ -1791,30 +1528,30 @@
 		err = msgp.WrapError(err, "Revision")
 		return
 	}
-	err = en.WriteArrayHeader(uint32(len(z.Beats)))
+	err = en.WriteArrayHeader(uint32(len(z.Heartbeats)))
 	if err != nil {
-		err = msgp.WrapError(err, "Beats")
+		err = msgp.WrapError(err, "Heartbeats")
 		return
 	}
-	for za0001 := range z.Beats {
+	for za0001 := range z.Heartbeats {
 		// array header, size 3
 		err = en.Append(0x93)
 		if err != nil {
 			return
 		}
-		err = en.WriteUint64(z.Beats[za0001].ID)
+		err = en.WriteUint64(z.Heartbeats[za0001].ID)
 		if err != nil {
-			err = msgp.WrapError(err, "Beats", za0001, "ID")
+			err = msgp.WrapError(err, "Heartbeats", za0001, "ID")
 			return
 		}
-		err = en.WriteUint32(z.Beats[za0001].Count)
+		err = en.WriteUint32(z.Heartbeats[za0001].Count)
 		if err != nil {
-			err = msgp.WrapError(err, "Beats", za0001, "Count")
+			err = msgp.WrapError(err, "Heartbeats", za0001, "Count")
 			return
 		}
-		err = en.WriteBool(z.Beats[za0001].Leaving)
+		err = en.WriteBool(z.Heartbeats[za0001].Leaving)
 		if err != nil {
-			err = msgp.WrapError(err, "Beats", za0001, "Leaving")
+			err = msgp.WrapError(err, "Heartbeats", za0001, "Leaving")
 			return
 		}
 	}
@@ -1851,13 +1588,13 @@
 	// array header, size 4
 	o = append(o, 0x94)
 	o = msgp.AppendUint64(o, z.Revision)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Beats)))
-	for za0001 := range z.Beats {
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Heartbeats)))
+	for za0001 := range z.Heartbeats {
 		// array header, size 3
 		o = append(o, 0x93)
-		o = msgp.AppendUint64(o, z.Beats[za0001].ID)
-		o = msgp.AppendUint32(o, z.Beats[za0001].Count)
-		o = msgp.AppendBool(o, z.Beats[za0001].Leaving)
+		o = msgp.AppendUint64(o, z.Heartbeats[za0001].ID)
+		o = msgp.AppendUint32(o, z.Heartbeats[za0001].Count)
+		o = msgp.AppendBool(o, z.Heartbeats[za0001].Leaving)
 	}
 	o = msgp.AppendArrayHeader(o, uint32(len(z.Members)))
 	for za0002 := range z.Members {
@@ -1894,42 +1631,42 @@
 	var zb0002 uint32
 	zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Beats")
+		err = msgp.WrapError(err, "Heartbeats")
 		return
 	}
 	if zb0002 > z5817a858limitArrays {
 		err = msgp.ErrLimitExceeded
 		return
 	}
-	if cap(z.Beats) >= int(zb0002) {
-		z.Beats = (z.Beats)[:zb0002]
+	if cap(z.Heartbeats) >= int(zb0002) {
+		z.Heartbeats = (z.Heartbeats)[:zb0002]
 	} else {
-		z.Beats = make([]Beat, zb0002)
+		z.Heartbeats = make([]Heartbeat, zb0002)
 	}
-	for za0001 := range z.Beats {
+	for za0001 := range z.Heartbeats {
 		var zb0003 uint32
 		zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
 		if err != nil {
-			err = msgp.WrapError(err, "Beats", za0001)
+			err = msgp.WrapError(err, "Heartbeats", za0001)
 			return
 		}
 		if zb0003 != 3 {
 			err = msgp.ArrayError{Wanted: 3, Got: zb0003}
 			return
 		}
-		z.Beats[za0001].ID, bts, err = msgp.ReadUint64Bytes(bts)
+		z.Heartbeats[za0001].ID, bts, err = msgp.ReadUint64Bytes(bts)
 		if err != nil {
-			err = msgp.WrapError(err, "Beats", za0001, "ID")
+			err = msgp.WrapError(err, "Heartbeats", za0001, "ID")
 			return
 		}
-		z.Beats[za0001].Count, bts, err = msgp.ReadUint32Bytes(bts)
+		z.Heartbeats[za0001].Count, bts, err = msgp.ReadUint32Bytes(bts)
 		if err != nil {
-			err = msgp.WrapError(err, "Beats", za0001, "Count")
+			err = msgp.WrapError(err, "Heartbeats", za0001, "Count")
 			return
 		}
-		z.Beats[za0001].Leaving, bts, err = msgp.ReadBoolBytes(bts)
+		z.Heartbeats[za0001].Leaving, bts, err = msgp.ReadBoolBytes(bts)
 		if err != nil {
-			err = msgp.WrapError(err, "Beats", za0001, "Leaving")
+			err = msgp.WrapError(err, "Heartbeats", za0001, "Leaving")
 			return
 		}
 	}
@@ -1983,7 +1720,7 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Gossip) Msgsize() (s int) {
-	s = 1 + msgp.Uint64Size + msgp.ArrayHeaderSize + (len(z.Beats) * (18 + msgp.Uint64Size + msgp.Uint32Size + msgp.BoolSize)) + msgp.ArrayHeaderSize
+	s = 1 + msgp.Uint64Size + msgp.ArrayHeaderSize + (len(z.Heartbeats) * (18 + msgp.Uint64Size + msgp.Uint32Size + msgp.BoolSize)) + msgp.ArrayHeaderSize
 	for za0002 := range z.Members {
 		s += z.Members[za0002].Msgsize()
 	}
@@ -2122,23 +1859,23 @@
 	var zb0002 uint32
 	zb0002, err = dc.ReadArrayHeader()
 	if err != nil {
-		err = msgp.WrapError(err, "Places")
+		err = msgp.WrapError(err, "Placements")
 		return
 	}
 	if zb0002 > z5817a858limitArrays {
 		err = msgp.ErrLimitExceeded
 		return
 	}
-	if cap(z.Places) >= int(zb0002) {
-		z.Places = (z.Places)[:zb0002]
+	if cap(z.Placements) >= int(zb0002) {
+		z.Placements = (z.Placements)[:zb0002]
 	} else {
-		z.Places = make([]Place, zb0002)
+		z.Placements = make([]Placement, zb0002)
 	}
-	for za0001 := range z.Places {
+	for za0001 := range z.Placements {
 		var zb0003 uint32
 		zb0003, err = dc.ReadArrayHeader()
 		if err != nil {
-			err = msgp.WrapError(err, "Places", za0001)
+			err = msgp.WrapError(err, "Placements", za0001)
 			return
 		}
 		if zb0003 > z5817a858limitArrays {
@@ -2149,19 +1886,19 @@
 			err = msgp.ArrayError{Wanted: 3, Got: zb0003}
 			return
 		}
-		z.Places[za0001].Chat, err = dc.ReadUint64()
+		z.Placements[za0001].Chat, err = dc.ReadUint64()
 		if err != nil {
-			err = msgp.WrapError(err, "Places", za0001, "Chat")
+			err = msgp.WrapError(err, "Placements", za0001, "Chat")
 			return
 		}
-		z.Places[za0001].Target, err = dc.ReadUint32()
+		z.Placements[za0001].Target, err = dc.ReadUint32()
 		if err != nil {
-			err = msgp.WrapError(err, "Places", za0001, "Target")
+			err = msgp.WrapError(err, "Placements", za0001, "Target")
 			return
 		}
-		z.Places[za0001].Tokens, err = dc.ReadUint32()
+		z.Placements[za0001].Tokens, err = dc.ReadUint32()
 		if err != nil {
-			err = msgp.WrapError(err, "Places", za0001, "Tokens")
+			err = msgp.WrapError(err, "Placements", za0001, "Tokens")
 			return
 		}
 	}
@@ -2180,30 +1917,30 @@
 		err = msgp.WrapError(err, "Cell")
 		return
 	}
-	err = en.WriteArrayHeader(uint32(len(z.Places)))
+	err = en.WriteArrayHeader(uint32(len(z.Placements)))
 	if err != nil {
-		err = msgp.WrapError(err, "Places")
+		err = msgp.WrapError(err, "Placements")
 		return
 	}
-	for za0001 := range z.Places {
+	for za0001 := range z.Placements {
 		// array header, size 3
 		err = en.Append(0x93)
 		if err != nil {
 			return
 		}
-		err = en.WriteUint64(z.Places[za0001].Chat)
+		err = en.WriteUint64(z.Placements[za0001].Chat)
 		if err != nil {
-			err = msgp.WrapError(err, "Places", za0001, "Chat")
+			err = msgp.WrapError(err, "Placements", za0001, "Chat")
 			return
 		}
-		err = en.WriteUint32(z.Places[za0001].Target)
+		err = en.WriteUint32(z.Placements[za0001].Target)
 		if err != nil {
-			err = msgp.WrapError(err, "Places", za0001, "Target")
+			err = msgp.WrapError(err, "Placements", za0001, "Target")
 			return
 		}
-		err = en.WriteUint32(z.Places[za0001].Tokens)
+		err = en.WriteUint32(z.Placements[za0001].Tokens)
 		if err != nil {
-			err = msgp.WrapError(err, "Places", za0001, "Tokens")
+			err = msgp.WrapError(err, "Placements", za0001, "Tokens")
 			return
 		}
 	}
@@ -2216,13 +1953,13 @@
 	// array header, size 2
 	o = append(o, 0x92)
 	o = msgp.AppendUint32(o, z.Cell)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Places)))
-	for za0001 := range z.Places {
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Placements)))
+	for za0001 := range z.Placements {
 		// array header, size 3
 		o = append(o, 0x93)
-		o = msgp.AppendUint64(o, z.Places[za0001].Chat)
-		o = msgp.AppendUint32(o, z.Places[za0001].Target)
-		o = msgp.AppendUint32(o, z.Places[za0001].Tokens)
+		o = msgp.AppendUint64(o, z.Placements[za0001].Chat)
+		o = msgp.AppendUint32(o, z.Placements[za0001].Target)
+		o = msgp.AppendUint32(o, z.Placements[za0001].Tokens)
 	}
 	return
 }
@@ -2247,42 +1984,42 @@
 	var zb0002 uint32
 	zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Places")
+		err = msgp.WrapError(err, "Placements")
 		return
 	}
 	if zb0002 > z5817a858limitArrays {
 		err = msgp.ErrLimitExceeded
 		return
 	}
-	if cap(z.Places) >= int(zb0002) {
-		z.Places = (z.Places)[:zb0002]
+	if cap(z.Placements) >= int(zb0002) {
+		z.Placements = (z.Placements)[:zb0002]
 	} else {
-		z.Places = make([]Place, zb0002)
+		z.Placements = make([]Placement, zb0002)
 	}
-	for za0001 := range z.Places {
+	for za0001 := range z.Placements {
 		var zb0003 uint32
 		zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
 		if err != nil {
-			err = msgp.WrapError(err, "Places", za0001)
+			err = msgp.WrapError(err, "Placements", za0001)
 			return
 		}
 		if zb0003 != 3 {
 			err = msgp.ArrayError{Wanted: 3, Got: zb0003}
 			return
 		}
-		z.Places[za0001].Chat, bts, err = msgp.ReadUint64Bytes(bts)
+		z.Placements[za0001].Chat, bts, err = msgp.ReadUint64Bytes(bts)
 		if err != nil {
-			err = msgp.WrapError(err, "Places", za0001, "Chat")
+			err = msgp.WrapError(err, "Placements", za0001, "Chat")
 			return
 		}
-		z.Places[za0001].Target, bts, err = msgp.ReadUint32Bytes(bts)
+		z.Placements[za0001].Target, bts, err = msgp.ReadUint32Bytes(bts)
 		if err != nil {
-			err = msgp.WrapError(err, "Places", za0001, "Target")
+			err = msgp.WrapError(err, "Placements", za0001, "Target")
 			return
 		}
-		z.Places[za0001].Tokens, bts, err = msgp.ReadUint32Bytes(bts)
+		z.Placements[za0001].Tokens, bts, err = msgp.ReadUint32Bytes(bts)
 		if err != nil {
-			err = msgp.WrapError(err, "Places", za0001, "Tokens")
+			err = msgp.WrapError(err, "Placements", za0001, "Tokens")
 			return
 		}
 	}
@@ -2292,12 +2029,12 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *HandOver) Msgsize() (s int) {
-	s = 1 + msgp.Uint32Size + msgp.ArrayHeaderSize + (len(z.Places) * (20 + msgp.Uint64Size + msgp.Uint32Size + msgp.Uint32Size))
+	s = 1 + msgp.Uint32Size + msgp.ArrayHeaderSize + (len(z.Placements) * (20 + msgp.Uint64Size + msgp.Uint32Size + msgp.Uint32Size))
 	return
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *Hello) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *Heartbeat) DecodeMsg(dc *msgp.Reader) (err error) {
 	var zb0001 uint32
 	zb0001, err = dc.ReadArrayHeader()
 	if err != nil {
@@ -2308,31 +2045,138 @@
 		err = msgp.ErrLimitExceeded
 		return
 	}
-	if zb0001 != 1 {
-		err = msgp.ArrayError{Wanted: 1, Got: zb0001}
+	if zb0001 != 3 {
+		err = msgp.ArrayError{Wanted: 3, Got: zb0001}
 		return
 	}
-	z.From, err = dc.ReadUint64()
+	z.ID, err = dc.ReadUint64()
 	if err != nil {
-		err = msgp.WrapError(err, "From")
+		err = msgp.WrapError(err, "ID")
+		return
+	}
+	z.Count, err = dc.ReadUint32()
+	if err != nil {
+		err = msgp.WrapError(err, "Count")
+		return
+	}
+	z.Leaving, err = dc.ReadBool()
+	if err != nil {
+		err = msgp.WrapError(err, "Leaving")
 		return
 	}
 	return
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z Hello) EncodeMsg(en *msgp.Writer) (err error) {
-	// array header, size 1
-	err = en.Append(0x91)
+func (z Heartbeat) EncodeMsg(en *msgp.Writer) (err error) {
+	// array header, size 3
+	err = en.Append(0x93)
 	if err != nil {
 		return
 	}
-	err = en.WriteUint64(z.From)
+	err = en.WriteUint64(z.ID)
 	if err != nil {
-		err = msgp.WrapError(err, "From")
+		err = msgp.WrapError(err, "ID")
 		return
 	}
-	return
+	err = en.WriteUint32(z.Count)
+	if err != nil {
+		err = msgp.WrapError(err, "Count")
+		return
+	}
+	err = en.WriteBool(z.Leaving)
+	if err != nil {
+		err = msgp.WrapError(err, "Leaving")
+		return
+	}
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z Heartbeat) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// array header, size 3
+	o = append(o, 0x93)
+	o = msgp.AppendUint64(o, z.ID)
+	o = msgp.AppendUint32(o, z.Count)
+	o = msgp.AppendBool(o, z.Leaving)
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *Heartbeat) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	if zb0001 != 3 {
+		err = msgp.ArrayError{Wanted: 3, Got: zb0001}
+		return
+	}
+	z.ID, bts, err = msgp.ReadUint64Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "ID")
+		return
+	}
+	z.Count, bts, err = msgp.ReadUint32Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Count")
+		return
+	}
+	z.Leaving, bts, err = msgp.ReadBoolBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Leaving")
+		return
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z Heartbeat) Msgsize() (s int) {
+	s = 1 + msgp.Uint64Size + msgp.Uint32Size + msgp.BoolSize
+	return
+}
+
+// DecodeMsg implements msgp.Decodable
+func (z *Hello) DecodeMsg(dc *msgp.Reader) (err error) {
+	var zb0001 uint32
+	zb0001, err = dc.ReadArrayHeader()
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	if zb0001 > z5817a858limitArrays {
+		err = msgp.ErrLimitExceeded
+		return
+	}
+	if zb0001 != 1 {
+		err = msgp.ArrayError{Wanted: 1, Got: zb0001}
+		return
+	}
+	z.From, err = dc.ReadUint64()
+	if err != nil {
+		err = msgp.WrapError(err, "From")
+		return
+	}
+	return
+}
+
+// EncodeMsg implements msgp.Encodable
+func (z Hello) EncodeMsg(en *msgp.Writer) (err error) {
+	// array header, size 1
+	err = en.Append(0x91)
+	if err != nil {
+		return
+	}
+	err = en.WriteUint64(z.From)
+	if err != nil {
+		err = msgp.WrapError(err, "From")
+		return
+	}
+	return
 }
 
 // MarshalMsg implements msgp.Marshaler
@@ -2515,7 +2359,7 @@
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *Load) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *LoadReport) DecodeMsg(dc *msgp.Reader) (err error) {
 	var zb0001 uint32
 	zb0001, err = dc.ReadArrayHeader()
 	if err != nil {
@@ -2549,7 +2393,7 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z Load) EncodeMsg(en *msgp.Writer) (err error) {
+func (z LoadReport) EncodeMsg(en *msgp.Writer) (err error) {
 	// array header, size 3
 	err = en.Append(0x93)
 	if err != nil {
@@ -2574,7 +2418,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z Load) MarshalMsg(b []byte) (o []byte, err error) {
+func (z LoadReport) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// array header, size 3
 	o = append(o, 0x93)
@@ -2585,7 +2429,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Load) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *LoadReport) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var zb0001 uint32
 	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
@@ -2616,7 +2460,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z Load) Msgsize() (s int) {
+func (z LoadReport) Msgsize() (s int) {
 	s = 1 + msgp.Uint32Size + msgp.Uint32Size + msgp.Uint32Size
 	return
 }
@@ -2745,7 +2589,7 @@
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *News) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *Occupancy) DecodeMsg(dc *msgp.Reader) (err error) {
 	var zb0001 uint32
 	zb0001, err = dc.ReadArrayHeader()
 	if err != nil {
@@ -2760,180 +2604,51 @@
 		err = msgp.ArrayError{Wanted: 2, Got: zb0001}
 		return
 	}
-	var zb0002 uint32
-	zb0002, err = dc.ReadArrayHeader()
+	z.Target, err = dc.ReadUint32()
 	if err != nil {
-		err = msgp.WrapError(err, "Holders")
-		return
-	}
-	if zb0002 > z5817a858limitArrays {
-		err = msgp.ErrLimitExceeded
+		err = msgp.WrapError(err, "Target")
 		return
 	}
-	if cap(z.Holders) >= int(zb0002) {
-		z.Holders = (z.Holders)[:zb0002]
-	} else {
-		z.Holders = make([]Holder, zb0002)
-	}
-	for za0001 := range z.Holders {
-		var zb0003 uint32
-		zb0003, err = dc.ReadArrayHeader()
-		if err != nil {
-			err = msgp.WrapError(err, "Holders", za0001)
-			return
-		}
-		if zb0003 > z5817a858limitArrays {
-			err = msgp.ErrLimitExceeded
-			return
-		}
-		if zb0003 != 2 {
-			err = msgp.ArrayError{Wanted: 2, Got: zb0003}
-			return
-		}
-		z.Holders[za0001].Key, err = dc.ReadUint64()
-		if err != nil {
-			err = msgp.WrapError(err, "Holders", za0001, "Key")
-			return
-		}
-		z.Holders[za0001].Target, err = dc.ReadUint32()
-		if err != nil {
-			err = msgp.WrapError(err, "Holders", za0001, "Target")
-			return
-		}
-	}
-	var zb0004 uint32
-	zb0004, err = dc.ReadArrayHeader()
+	z.Calls, err = dc.ReadUint32()
 	if err != nil {
-		err = msgp.WrapError(err, "Loads")
-		return
-	}
-	if zb0004 > z5817a858limitArrays {
-		err = msgp.ErrLimitExceeded
+		err = msgp.WrapError(err, "Calls")
 		return
 	}
-	if cap(z.Loads) >= int(zb0004) {
-		z.Loads = (z.Loads)[:zb0004]
-	} else {
-		z.Loads = make([]Load, zb0004)
-	}
-	for za0002 := range z.Loads {
-		var zb0005 uint32
-		zb0005, err = dc.ReadArrayHeader()
-		if err != nil {
-			err = msgp.WrapError(err, "Loads", za0002)
-			return
-		}
-		if zb0005 > z5817a858limitArrays {
-			err = msgp.ErrLimitExceeded
-			return
-		}
-		if zb0005 != 3 {
-			err = msgp.ArrayError{Wanted: 3, Got: zb0005}
-			return
-		}
-		z.Loads[za0002].Target, err = dc.ReadUint32()
-		if err != nil {
-			err = msgp.WrapError(err, "Loads", za0002, "Target")
-			return
-		}
-		z.Loads[za0002].Calls, err = dc.ReadUint32()
-		if err != nil {
-			err = msgp.WrapError(err, "Loads", za0002, "Calls")
-			return
-		}
-		z.Loads[za0002].AgeMs, err = dc.ReadUint32()
-		if err != nil {
-			err = msgp.WrapError(err, "Loads", za0002, "AgeMs")
-			return
-		}
-	}
 	return
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *News) EncodeMsg(en *msgp.Writer) (err error) {
+func (z Occupancy) EncodeMsg(en *msgp.Writer) (err error) {
 	// array header, size 2
 	err = en.Append(0x92)
 	if err != nil {
 		return
 	}
-	err = en.WriteArrayHeader(uint32(len(z.Holders)))
+	err = en.WriteUint32(z.Target)
 	if err != nil {
-		err = msgp.WrapError(err, "Holders")
+		err = msgp.WrapError(err, "Target")
 		return
 	}
-	for za0001 := range z.Holders {
-		// array header, size 2
-		err = en.Append(0x92)
-		if err != nil {
-			return
-		}
-		err = en.WriteUint64(z.Holders[za0001].Key)
-		if err != nil {
-			err = msgp.WrapError(err, "Holders", za0001, "Key")
-			return
-		}
-		err = en.WriteUint32(z.Holders[za0001].Target)
-		if err != nil {
-			err = msgp.WrapError(err, "Holders", za0001, "Target")
-			return
-		}
-	}
-	err = en.WriteArrayHeader(uint32(len(z.Loads)))
+	err = en.WriteUint32(z.Calls)
 	if err != nil {
-		err = msgp.WrapError(err, "Loads")
+		err = msgp.WrapError(err, "Calls")
 		return
 	}
-	for za0002 := range z.Loads {
-		// array header, size 3
-		err = en.Append(0x93)
-		if err != nil {
-			return
-		}
-		err = en.WriteUint32(z.Loads[za0002].Target)
-		if err != nil {
-			err = msgp.WrapError(err, "Loads", za0002, "Target")
-			return
-		}
-		err = en.WriteUint32(z.Loads[za0002].Calls)
-		if err != nil {
-			err = msgp.WrapError(err, "Loads", za0002, "Calls")
-			return
-		}
-		err = en.WriteUint32(z.Loads[za0002].AgeMs)
-		if err != nil {
-			err = msgp.WrapError(err, "Loads", za0002, "AgeMs")
-			return
-		}
-	}
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *News) MarshalMsg(b []byte) (o []byte, err error) {
+func (z Occupancy) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// array header, size 2
 	o = append(o, 0x92)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Holders)))
-	for za0001 := range z.Holders {
-		// array header, size 2
-		o = append(o, 0x92)
-		o = msgp.AppendUint64(o, z.Holders[za0001].Key)
-		o = msgp.AppendUint32(o, z.Holders[za0001].Target)
-	}
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Loads)))
-	for za0002 := range z.Loads {
-		// array header, size 3
-		o = append(o, 0x93)
-		o = msgp.AppendUint32(o, z.Loads[za0002].Target)
-		o = msgp.AppendUint32(o, z.Loads[za0002].Calls)
-		o = msgp.AppendUint32(o, z.Loads[za0002].AgeMs)
-	}
+	o = msgp.AppendUint32(o, z.Target)
+	o = msgp.AppendUint32(o, z.Calls)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *News) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *Occupancy) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var zb0001 uint32
 	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
@@ -2944,97 +2659,28 @@
 		err = msgp.ArrayError{Wanted: 2, Got: zb0001}
 		return
 	}
-	var zb0002 uint32
-	zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
+	z.Target, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Holders")
-		return
-	}
-	if zb0002 > z5817a858limitArrays {
-		err = msgp.ErrLimitExceeded
+		err = msgp.WrapError(err, "Target")
 		return
 	}
-	if cap(z.Holders) >= int(zb0002) {
-		z.Holders = (z.Holders)[:zb0002]
-	} else {
-		z.Holders = make([]Holder, zb0002)
-	}
-	for za0001 := range z.Holders {
-		var zb0003 uint32
-		zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
-		if err != nil {
-			err = msgp.WrapError(err, "Holders", za0001)
-			return
-		}
-		if zb0003 != 2 {
-			err = msgp.ArrayError{Wanted: 2, Got: zb0003}
-			return
-		}
-		z.Holders[za0001].Key, bts, err = msgp.ReadUint64Bytes(bts)
-		if err != nil {
-			err = msgp.WrapError(err, "Holders", za0001, "Key")
-			return
-		}
-		z.Holders[za0001].Target, bts, err = msgp.ReadUint32Bytes(bts)
-		if err != nil {
-			err = msgp.WrapError(err, "Holders", za0001, "Target")
-			return
-		}
-	}
-	var zb0004 uint32
-	zb0004, bts, err = msgp.ReadArrayHeaderBytes(bts)
+	z.Calls, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Loads")
-		return
-	}
-	if zb0004 > z5817a858limitArrays {
-		err = msgp.ErrLimitExceeded
+		err = msgp.WrapError(err, "Calls")
 		return
 	}
-	if cap(z.Loads) >= int(zb0004) {
-		z.Loads = (z.Loads)[:zb0004]
-	} else {
-		z.Loads = make([]Load, zb0004)
-	}
-	for za0002 := range z.Loads {
-		var zb0005 uint32
-		zb0005, bts, err = msgp.ReadArrayHeaderBytes(bts)
-		if err != nil {
-			err = msgp.WrapError(err, "Loads", za0002)
-			return
-		}
-		if zb0005 != 3 {
-			err = msgp.ArrayError{Wanted: 3, Got: zb0005}
-			return
-		}
-		z.Loads[za0002].Target, bts, err = msgp.ReadUint32Bytes(bts)
-		if err != nil {
-			err = msgp.WrapError(err, "Loads", za0002, "Target")
-			return
-		}
-		z.Loads[za0002].Calls, bts, err = msgp.ReadUint32Bytes(bts)
-		if err != nil {
-			err = msgp.WrapError(err, "Loads", za0002, "Calls")
-			return
-		}
-		z.Loads[za0002].AgeMs, bts, err = msgp.ReadUint32Bytes(bts)
-		if err != nil {
-			err = msgp.WrapError(err, "Loads", za0002, "AgeMs")
-			return
-		}
-	}
 	o = bts
 	return
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *News) Msgsize() (s int) {
-	s = 1 + msgp.ArrayHeaderSize + (len(z.Holders) * (12 + msgp.Uint64Size + msgp.Uint32Size)) + msgp.ArrayHeaderSize + (len(z.Loads) * (20 + msgp.Uint32Size + msgp.Uint32Size + msgp.Uint32Size))
+func (z Occupancy) Msgsize() (s int) {
+	s = 1 + msgp.Uint32Size + msgp.Uint32Size
 	return
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *Occupancy) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *Placement) DecodeMsg(dc *msgp.Reader) (err error) {
 	var zb0001 uint32
 	zb0001, err = dc.ReadArrayHeader()
 	if err != nil {
@@ -3045,8 +2691,13 @@
 		err = msgp.ErrLimitExceeded
 		return
 	}
-	if zb0001 != 2 {
-		err = msgp.ArrayError{Wanted: 2, Got: zb0001}
+	if zb0001 != 3 {
+		err = msgp.ArrayError{Wanted: 3, Got: zb0001}
+		return
+	}
+	z.Chat, err = dc.ReadUint64()
+	if err != nil {
+		err = msgp.WrapError(err, "Chat")
 		return
 	}
 	z.Target, err = dc.ReadUint32()
@@ -3054,19 +2705,24 @@
 		err = msgp.WrapError(err, "Target")
 		return
 	}
-	z.Calls, err = dc.ReadUint32()
+	z.Tokens, err = dc.ReadUint32()
 	if err != nil {
-		err = msgp.WrapError(err, "Calls")
+		err = msgp.WrapError(err, "Tokens")
 		return
 	}
 	return
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z Occupancy) EncodeMsg(en *msgp.Writer) (err error) {
-	// array header, size 2
-	err = en.Append(0x92)
+func (z Placement) EncodeMsg(en *msgp.Writer) (err error) {
+	// array header, size 3
+	err = en.Append(0x93)
+	if err != nil {
+		return
+	}
+	err = en.WriteUint64(z.Chat)
 	if err != nil {
+		err = msgp.WrapError(err, "Chat")
 		return
 	}
 	err = en.WriteUint32(z.Target)
@@ -3074,34 +2730,40 @@
 		err = msgp.WrapError(err, "Target")
 		return
 	}
-	err = en.WriteUint32(z.Calls)
+	err = en.WriteUint32(z.Tokens)
 	if err != nil {
-		err = msgp.WrapError(err, "Calls")
+		err = msgp.WrapError(err, "Tokens")
 		return
 	}
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z Occupancy) MarshalMsg(b []byte) (o []byte, err error) {
+func (z Placement) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// array header, size 2
-	o = append(o, 0x92)
+	// array header, size 3
+	o = append(o, 0x93)
+	o = msgp.AppendUint64(o, z.Chat)
 	o = msgp.AppendUint32(o, z.Target)
-	o = msgp.AppendUint32(o, z.Calls)
+	o = msgp.AppendUint32(o, z.Tokens)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Occupancy) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *Placement) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var zb0001 uint32
 	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err)
 		return
 	}
-	if zb0001 != 2 {
-		err = msgp.ArrayError{Wanted: 2, Got: zb0001}
+	if zb0001 != 3 {
+		err = msgp.ArrayError{Wanted: 3, Got: zb0001}
+		return
+	}
+	z.Chat, bts, err = msgp.ReadUint64Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Chat")
 		return
 	}
 	z.Target, bts, err = msgp.ReadUint32Bytes(bts)
@@ -3109,9 +2771,9 @@
 		err = msgp.WrapError(err, "Target")
 		return
 	}
-	z.Calls, bts, err = msgp.ReadUint32Bytes(bts)
+	z.Tokens, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Calls")
+		err = msgp.WrapError(err, "Tokens")
 		return
 	}
 	o = bts
@@ -3119,13 +2781,13 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z Occupancy) Msgsize() (s int) {
-	s = 1 + msgp.Uint32Size + msgp.Uint32Size
+func (z Placement) Msgsize() (s int) {
+	s = 1 + msgp.Uint64Size + msgp.Uint32Size + msgp.Uint32Size
 	return
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *Place) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *QuarantineRecord) DecodeMsg(dc *msgp.Reader) (err error) {
 	var zb0001 uint32
 	zb0001, err = dc.ReadArrayHeader()
 	if err != nil {
@@ -3136,89 +2798,77 @@
 		err = msgp.ErrLimitExceeded
 		return
 	}
-	if zb0001 != 3 {
-		err = msgp.ArrayError{Wanted: 3, Got: zb0001}
-		return
-	}
-	z.Chat, err = dc.ReadUint64()
-	if err != nil {
-		err = msgp.WrapError(err, "Chat")
+	if zb0001 != 2 {
+		err = msgp.ArrayError{Wanted: 2, Got: zb0001}
 		return
 	}
-	z.Target, err = dc.ReadUint32()
+	err = z.Suspect.DecodeMsg(dc)
 	if err != nil {
-		err = msgp.WrapError(err, "Target")
+		err = msgp.WrapError(err, "Suspect")
 		return
 	}
-	z.Tokens, err = dc.ReadUint32()
+	z.WrittenMs, err = dc.ReadInt64()
 	if err != nil {
-		err = msgp.WrapError(err, "Tokens")
+		err = msgp.WrapError(err, "WrittenMs")
 		return
 	}
 	return
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z Place) EncodeMsg(en *msgp.Writer) (err error) {
-	// array header, size 3
-	err = en.Append(0x93)
-	if err != nil {
-		return
-	}
-	err = en.WriteUint64(z.Chat)
+func (z *QuarantineRecord) EncodeMsg(en *msgp.Writer) (err error) {
+	// array header, size 2
+	err = en.Append(0x92)
 	if err != nil {
-		err = msgp.WrapError(err, "Chat")
 		return
 	}
-	err = en.WriteUint32(z.Target)
+	err = z.Suspect.EncodeMsg(en)
 	if err != nil {
-		err = msgp.WrapError(err, "Target")
+		err = msgp.WrapError(err, "Suspect")
 		return
 	}
-	err = en.WriteUint32(z.Tokens)
+	err = en.WriteInt64(z.WrittenMs)
 	if err != nil {
-		err = msgp.WrapError(err, "Tokens")
+		err = msgp.WrapError(err, "WrittenMs")
 		return
 	}
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z Place) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *QuarantineRecord) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// array header, size 3
-	o = append(o, 0x93)
-	o = msgp.AppendUint64(o, z.Chat)
-	o = msgp.AppendUint32(o, z.Target)
-	o = msgp.AppendUint32(o, z.Tokens)
+	// array header, size 2
+	o = append(o, 0x92)
+	o, err = z.Suspect.MarshalMsg(o)
+	if err != nil {
+		err = msgp.WrapError(err, "Suspect")
+		return
+	}
+	o = msgp.AppendInt64(o, z.WrittenMs)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Place) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *QuarantineRecord) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var zb0001 uint32
 	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err)
 		return
 	}
-	if zb0001 != 3 {
-		err = msgp.ArrayError{Wanted: 3, Got: zb0001}
-		return
-	}
-	z.Chat, bts, err = msgp.ReadUint64Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Chat")
+	if zb0001 != 2 {
+		err = msgp.ArrayError{Wanted: 2, Got: zb0001}
 		return
 	}
-	z.Target, bts, err = msgp.ReadUint32Bytes(bts)
+	bts, err = z.Suspect.UnmarshalMsg(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Target")
+		err = msgp.WrapError(err, "Suspect")
 		return
 	}
-	z.Tokens, bts, err = msgp.ReadUint32Bytes(bts)
+	z.WrittenMs, bts, err = msgp.ReadInt64Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Tokens")
+		err = msgp.WrapError(err, "WrittenMs")
 		return
 	}
 	o = bts
@@ -3226,8 +2876,8 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z Place) Msgsize() (s int) {
-	s = 1 + msgp.Uint64Size + msgp.Uint32Size + msgp.Uint32Size
+func (z *QuarantineRecord) Msgsize() (s int) {
+	s = 1 + z.Suspect.Msgsize() + msgp.Int64Size
 	return
 }
 
@@ -3773,24 +3423,24 @@
 		err = msgp.WrapError(err, "Number")
 		return
 	}
-	z.Most, err = dc.ReadUint32()
+	z.MaxCalls, err = dc.ReadUint32()
 	if err != nil {
-		err = msgp.WrapError(err, "Most")
+		err = msgp.WrapError(err, "MaxCalls")
 		return
 	}
-	z.WithinMs, err = dc.ReadUint32()
+	z.LifetimeMs, err = dc.ReadUint32()
 	if err != nil {
-		err = msgp.WrapError(err, "WithinMs")
+		err = msgp.WrapError(err, "LifetimeMs")
 		return
 	}
-	z.Usual, err = dc.ReadUint32()
+	z.MedianLatency, err = dc.ReadUint32()
 	if err != nil {
-		err = msgp.WrapError(err, "Usual")
+		err = msgp.WrapError(err, "MedianLatency")
 		return
 	}
-	z.Anyway, err = dc.ReadBool()
+	z.AllowExcluded, err = dc.ReadBool()
 	if err != nil {
-		err = msgp.WrapError(err, "Anyway")
+		err = msgp.WrapError(err, "AllowExcluded")
 		return
 	}
 	return
@@ -3813,24 +3463,24 @@
 		err = msgp.WrapError(err, "Number")
 		return
 	}
-	err = en.WriteUint32(z.Most)
+	err = en.WriteUint32(z.MaxCalls)
 	if err != nil {
-		err = msgp.WrapError(err, "Most")
+		err = msgp.WrapError(err, "MaxCalls")
 		return
 	}
-	err = en.WriteUint32(z.WithinMs)
+	err = en.WriteUint32(z.LifetimeMs)
 	if err != nil {
-		err = msgp.WrapError(err, "WithinMs")
+		err = msgp.WrapError(err, "LifetimeMs")
 		return
 	}
-	err = en.WriteUint32(z.Usual)
+	err = en.WriteUint32(z.MedianLatency)
 	if err != nil {
-		err = msgp.WrapError(err, "Usual")
+		err = msgp.WrapError(err, "MedianLatency")
 		return
 	}
-	err = en.WriteBool(z.Anyway)
+	err = en.WriteBool(z.AllowExcluded)
 	if err != nil {
-		err = msgp.WrapError(err, "Anyway")
+		err = msgp.WrapError(err, "AllowExcluded")
 		return
 	}
 	return
@@ -3843,10 +3493,10 @@
 	o = append(o, 0x96)
 	o = msgp.AppendUint32(o, z.Target)
 	o = msgp.AppendUint64(o, z.Number)
-	o = msgp.AppendUint32(o, z.Most)
-	o = msgp.AppendUint32(o, z.WithinMs)
-	o = msgp.AppendUint32(o, z.Usual)
-	o = msgp.AppendBool(o, z.Anyway)
+	o = msgp.AppendUint32(o, z.MaxCalls)
+	o = msgp.AppendUint32(o, z.LifetimeMs)
+	o = msgp.AppendUint32(o, z.MedianLatency)
+	o = msgp.AppendBool(o, z.AllowExcluded)
 	return
 }
 
@@ -3872,24 +3522,24 @@
 		err = msgp.WrapError(err, "Number")
 		return
 	}
-	z.Most, bts, err = msgp.ReadUint32Bytes(bts)
+	z.MaxCalls, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Most")
+		err = msgp.WrapError(err, "MaxCalls")
 		return
 	}
-	z.WithinMs, bts, err = msgp.ReadUint32Bytes(bts)
+	z.LifetimeMs, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "WithinMs")
+		err = msgp.WrapError(err, "LifetimeMs")
 		return
 	}
-	z.Usual, bts, err = msgp.ReadUint32Bytes(bts)
+	z.MedianLatency, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Usual")
+		err = msgp.WrapError(err, "MedianLatency")
 		return
 	}
-	z.Anyway, bts, err = msgp.ReadBoolBytes(bts)
+	z.AllowExcluded, bts, err = msgp.ReadBoolBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Anyway")
+		err = msgp.WrapError(err, "AllowExcluded")
 		return
 	}
 	o = bts
@@ -3903,7 +3553,7 @@
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *Rest) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *ReserveReply) DecodeMsg(dc *msgp.Reader) (err error) {
 	var zb0001 uint32
 	zb0001, err = dc.ReadArrayHeader()
 	if err != nil {
@@ -3918,62 +3568,62 @@
 		err = msgp.ArrayError{Wanted: 3, Got: zb0001}
 		return
 	}
-	z.Cell, err = dc.ReadUint32()
+	z.Outcome, err = dc.ReadUint8()
 	if err != nil {
-		err = msgp.WrapError(err, "Cell")
+		err = msgp.WrapError(err, "Outcome")
 		return
 	}
-	z.Target, err = dc.ReadUint32()
+	z.Calls, err = dc.ReadUint32()
 	if err != nil {
-		err = msgp.WrapError(err, "Target")
+		err = msgp.WrapError(err, "Calls")
 		return
 	}
-	z.ForMs, err = dc.ReadUint32()
+	z.Latency, err = dc.ReadUint32()
 	if err != nil {
-		err = msgp.WrapError(err, "ForMs")
+		err = msgp.WrapError(err, "Latency")
 		return
 	}
 	return
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z Rest) EncodeMsg(en *msgp.Writer) (err error) {
+func (z ReserveReply) EncodeMsg(en *msgp.Writer) (err error) {
 	// array header, size 3
 	err = en.Append(0x93)
 	if err != nil {
 		return
 	}
-	err = en.WriteUint32(z.Cell)
+	err = en.WriteUint8(z.Outcome)
 	if err != nil {
-		err = msgp.WrapError(err, "Cell")
+		err = msgp.WrapError(err, "Outcome")
 		return
 	}
-	err = en.WriteUint32(z.Target)
+	err = en.WriteUint32(z.Calls)
 	if err != nil {
-		err = msgp.WrapError(err, "Target")
+		err = msgp.WrapError(err, "Calls")
 		return
 	}
-	err = en.WriteUint32(z.ForMs)
+	err = en.WriteUint32(z.Latency)
 	if err != nil {
-		err = msgp.WrapError(err, "ForMs")
+		err = msgp.WrapError(err, "Latency")
 		return
 	}
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z Rest) MarshalMsg(b []byte) (o []byte, err error) {
+func (z ReserveReply) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// array header, size 3
 	o = append(o, 0x93)
-	o = msgp.AppendUint32(o, z.Cell)
-	o = msgp.AppendUint32(o, z.Target)
-	o = msgp.AppendUint32(o, z.ForMs)
+	o = msgp.AppendUint8(o, z.Outcome)
+	o = msgp.AppendUint32(o, z.Calls)
+	o = msgp.AppendUint32(o, z.Latency)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Rest) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *ReserveReply) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var zb0001 uint32
 	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
@@ -3984,19 +3634,19 @@
 		err = msgp.ArrayError{Wanted: 3, Got: zb0001}
 		return
 	}
-	z.Cell, bts, err = msgp.ReadUint32Bytes(bts)
+	z.Outcome, bts, err = msgp.ReadUint8Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Cell")
+		err = msgp.WrapError(err, "Outcome")
 		return
 	}
-	z.Target, bts, err = msgp.ReadUint32Bytes(bts)
+	z.Calls, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Target")
+		err = msgp.WrapError(err, "Calls")
 		return
 	}
-	z.ForMs, bts, err = msgp.ReadUint32Bytes(bts)
+	z.Latency, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "ForMs")
+		err = msgp.WrapError(err, "Latency")
 		return
 	}
 	o = bts
@@ -4004,13 +3654,13 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z Rest) Msgsize() (s int) {
-	s = 1 + msgp.Uint32Size + msgp.Uint32Size + msgp.Uint32Size
+func (z ReserveReply) Msgsize() (s int) {
+	s = 1 + msgp.Uint8Size + msgp.Uint32Size + msgp.Uint32Size
 	return
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *Room) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *Settle) DecodeMsg(dc *msgp.Reader) (err error) {
 	var zb0001 uint32
 	zb0001, err = dc.ReadArrayHeader()
 	if err != nil {
@@ -4021,148 +3671,41 @@
 		err = msgp.ErrLimitExceeded
 		return
 	}
-	if zb0001 != 3 {
-		err = msgp.ArrayError{Wanted: 3, Got: zb0001}
+	if zb0001 != 7 {
+		err = msgp.ArrayError{Wanted: 7, Got: zb0001}
 		return
 	}
-	z.Outcome, err = dc.ReadUint8()
+	z.Key, err = dc.ReadUint64()
 	if err != nil {
-		err = msgp.WrapError(err, "Outcome")
+		err = msgp.WrapError(err, "Key")
 		return
 	}
-	z.Calls, err = dc.ReadUint32()
+	z.ID, err = dc.ReadUint64()
 	if err != nil {
-		err = msgp.WrapError(err, "Calls")
+		err = msgp.WrapError(err, "ID")
 		return
 	}
-	z.Pace, err = dc.ReadUint32()
+	z.State, err = dc.ReadUint8()
 	if err != nil {
-		err = msgp.WrapError(err, "Pace")
+		err = msgp.WrapError(err, "State")
 		return
 	}
-	return
-}
-
-// EncodeMsg implements msgp.Encodable
-func (z Room) EncodeMsg(en *msgp.Writer) (err error) {
-	// array header, size 3
-	err = en.Append(0x93)
+	z.Status, err = dc.ReadInt()
 	if err != nil {
+		err = msgp.WrapError(err, "Status")
 		return
 	}
-	err = en.WriteUint8(z.Outcome)
+	z.ContentType, err = dc.ReadString()
 	if err != nil {
-		err = msgp.WrapError(err, "Outcome")
+		err = msgp.WrapError(err, "ContentType")
 		return
 	}
-	err = en.WriteUint32(z.Calls)
+	z.Answer, err = dc.ReadBytesLimit(z.Answer, 16777216)
+	if err == nil && z.Answer == nil {
+		z.Answer = []byte{}
+	}
 	if err != nil {
-		err = msgp.WrapError(err, "Calls")
-		return
-	}
-	err = en.WriteUint32(z.Pace)
-	if err != nil {
-		err = msgp.WrapError(err, "Pace")
-		return
-	}
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z Room) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// array header, size 3
-	o = append(o, 0x93)
-	o = msgp.AppendUint8(o, z.Outcome)
-	o = msgp.AppendUint32(o, z.Calls)
-	o = msgp.AppendUint32(o, z.Pace)
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *Room) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	if zb0001 != 3 {
-		err = msgp.ArrayError{Wanted: 3, Got: zb0001}
-		return
-	}
-	z.Outcome, bts, err = msgp.ReadUint8Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Outcome")
-		return
-	}
-	z.Calls, bts, err = msgp.ReadUint32Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Calls")
-		return
-	}
-	z.Pace, bts, err = msgp.ReadUint32Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Pace")
-		return
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z Room) Msgsize() (s int) {
-	s = 1 + msgp.Uint8Size + msgp.Uint32Size + msgp.Uint32Size
-	return
-}
-
-// DecodeMsg implements msgp.Decodable
-func (z *Settle) DecodeMsg(dc *msgp.Reader) (err error) {
-	var zb0001 uint32
-	zb0001, err = dc.ReadArrayHeader()
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	if zb0001 > z5817a858limitArrays {
-		err = msgp.ErrLimitExceeded
-		return
-	}
-	if zb0001 != 7 {
-		err = msgp.ArrayError{Wanted: 7, Got: zb0001}
-		return
-	}
-	z.Key, err = dc.ReadUint64()
-	if err != nil {
-		err = msgp.WrapError(err, "Key")
-		return
-	}
-	z.ID, err = dc.ReadUint64()
-	if err != nil {
-		err = msgp.WrapError(err, "ID")
-		return
-	}
-	z.State, err = dc.ReadUint8()
-	if err != nil {
-		err = msgp.WrapError(err, "State")
-		return
-	}
-	z.Status, err = dc.ReadInt()
-	if err != nil {
-		err = msgp.WrapError(err, "Status")
-		return
-	}
-	z.ContentType, err = dc.ReadString()
-	if err != nil {
-		err = msgp.WrapError(err, "ContentType")
-		return
-	}
-	z.Answer, err = dc.ReadBytesLimit(z.Answer, 16777216)
-	if err == nil && z.Answer == nil {
-		z.Answer = []byte{}
-	}
-	if err != nil {
-		err = msgp.WrapError(err, "Answer")
+		err = msgp.WrapError(err, "Answer")
 		return
 	}
 	z.Truncated, err = dc.ReadBool()
@@ -4382,7 +3925,7 @@
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *ShelvedSuspect) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *SlotReply) DecodeMsg(dc *msgp.Reader) (err error) {
 	var zb0001 uint32
 	zb0001, err = dc.ReadArrayHeader()
 	if err != nil {
@@ -4393,77 +3936,368 @@
 		err = msgp.ErrLimitExceeded
 		return
 	}
-	if zb0001 != 2 {
-		err = msgp.ArrayError{Wanted: 2, Got: zb0001}
+	if zb0001 != 4 {
+		err = msgp.ArrayError{Wanted: 4, Got: zb0001}
 		return
 	}
-	err = z.Suspect.DecodeMsg(dc)
+	z.Reason, err = dc.ReadUint8()
 	if err != nil {
-		err = msgp.WrapError(err, "Suspect")
+		err = msgp.WrapError(err, "Reason")
 		return
 	}
-	z.WrittenMs, err = dc.ReadInt64()
+	z.Target, err = dc.ReadUint32()
+	if err != nil {
+		err = msgp.WrapError(err, "Target")
+		return
+	}
+	z.Flags, err = dc.ReadUint8()
+	if err != nil {
+		err = msgp.WrapError(err, "Flags")
+		return
+	}
+	z.RetryAfterMs, err = dc.ReadUint32()
+	if err != nil {
+		err = msgp.WrapError(err, "RetryAfterMs")
+		return
+	}
+	return
+}
+
+// EncodeMsg implements msgp.Encodable
+func (z *SlotReply) EncodeMsg(en *msgp.Writer) (err error) {
+	// array header, size 4
+	err = en.Append(0x94)
+	if err != nil {
+		return
+	}
+	err = en.WriteUint8(z.Reason)
+	if err != nil {
+		err = msgp.WrapError(err, "Reason")
+		return
+	}
+	err = en.WriteUint32(z.Target)
+	if err != nil {
+		err = msgp.WrapError(err, "Target")
+		return
+	}
+	err = en.WriteUint8(z.Flags)
+	if err != nil {
+		err = msgp.WrapError(err, "Flags")
+		return
+	}
+	err = en.WriteUint32(z.RetryAfterMs)
+	if err != nil {
+		err = msgp.WrapError(err, "RetryAfterMs")
+		return
+	}
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z *SlotReply) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// array header, size 4
+	o = append(o, 0x94)
+	o = msgp.AppendUint8(o, z.Reason)
+	o = msgp.AppendUint32(o, z.Target)
+	o = msgp.AppendUint8(o, z.Flags)
+	o = msgp.AppendUint32(o, z.RetryAfterMs)
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *SlotReply) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	if zb0001 != 4 {
+		err = msgp.ArrayError{Wanted: 4, Got: zb0001}
+		return
+	}
+	z.Reason, bts, err = msgp.ReadUint8Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Reason")
+		return
+	}
+	z.Target, bts, err = msgp.ReadUint32Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Target")
+		return
+	}
+	z.Flags, bts, err = msgp.ReadUint8Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Flags")
+		return
+	}
+	z.RetryAfterMs, bts, err = msgp.ReadUint32Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "RetryAfterMs")
+		return
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z *SlotReply) Msgsize() (s int) {
+	s = 1 + msgp.Uint8Size + msgp.Uint32Size + msgp.Uint8Size + msgp.Uint32Size
+	return
+}
+
+// DecodeMsg implements msgp.Decodable
+func (z *SlotRequest) DecodeMsg(dc *msgp.Reader) (err error) {
+	var zb0001 uint32
+	zb0001, err = dc.ReadArrayHeader()
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	if zb0001 > z5817a858limitArrays {
+		err = msgp.ErrLimitExceeded
+		return
+	}
+	if zb0001 != 10 {
+		err = msgp.ArrayError{Wanted: 10, Got: zb0001}
+		return
+	}
+	z.Seq, err = dc.ReadUint32()
+	if err != nil {
+		err = msgp.WrapError(err, "Seq")
+		return
+	}
+	z.Cell, err = dc.ReadUint32()
+	if err != nil {
+		err = msgp.WrapError(err, "Cell")
+		return
+	}
+	z.Rule, err = dc.ReadUint32()
+	if err != nil {
+		err = msgp.WrapError(err, "Rule")
+		return
+	}
+	z.Customer, err = dc.ReadUint32()
+	if err != nil {
+		err = msgp.WrapError(err, "Customer")
+		return
+	}
+	z.Chat, err = dc.ReadUint64()
+	if err != nil {
+		err = msgp.WrapError(err, "Chat")
+		return
+	}
+	z.Prompt, err = dc.ReadUint32()
+	if err != nil {
+		err = msgp.WrapError(err, "Prompt")
+		return
+	}
+	z.Hint, err = dc.ReadUint32()
+	if err != nil {
+		err = msgp.WrapError(err, "Hint")
+		return
+	}
+	var zb0002 uint32
+	zb0002, err = dc.ReadArrayHeader()
+	if err != nil {
+		err = msgp.WrapError(err, "Excluded")
+		return
+	}
+	if zb0002 > z5817a858limitArrays {
+		err = msgp.ErrLimitExceeded
+		return
+	}
+	if cap(z.Excluded) >= int(zb0002) {
+		z.Excluded = (z.Excluded)[:zb0002]
+	} else {
+		z.Excluded = make([]uint32, zb0002)
+	}
+	for za0001 := range z.Excluded {
+		z.Excluded[za0001], err = dc.ReadUint32()
+		if err != nil {
+			err = msgp.WrapError(err, "Excluded", za0001)
+			return
+		}
+	}
+	z.WaitedMs, err = dc.ReadUint32()
+	if err != nil {
+		err = msgp.WrapError(err, "WaitedMs")
+		return
+	}
+	z.Forwarded, err = dc.ReadBool()
+	if err != nil {
+		err = msgp.WrapError(err, "Forwarded")
+		return
+	}
+	return
+}
+
+// EncodeMsg implements msgp.Encodable
+func (z *SlotRequest) EncodeMsg(en *msgp.Writer) (err error) {
+	// array header, size 10
+	err = en.Append(0x9a)
+	if err != nil {
+		return
+	}
+	err = en.WriteUint32(z.Seq)
+	if err != nil {
+		err = msgp.WrapError(err, "Seq")
+		return
+	}
+	err = en.WriteUint32(z.Cell)
+	if err != nil {
+		err = msgp.WrapError(err, "Cell")
+		return
+	}
+	err = en.WriteUint32(z.Rule)
+	if err != nil {
+		err = msgp.WrapError(err, "Rule")
+		return
+	}
+	err = en.WriteUint32(z.Customer)
+	if err != nil {
+		err = msgp.WrapError(err, "Customer")
+		return
+	}
+	err = en.WriteUint64(z.Chat)
+	if err != nil {
+		err = msgp.WrapError(err, "Chat")
+		return
+	}
+	err = en.WriteUint32(z.Prompt)
+	if err != nil {
+		err = msgp.WrapError(err, "Prompt")
+		return
+	}
+	err = en.WriteUint32(z.Hint)
+	if err != nil {
+		err = msgp.WrapError(err, "Hint")
+		return
+	}
+	err = en.WriteArrayHeader(uint32(len(z.Excluded)))
+	if err != nil {
+		err = msgp.WrapError(err, "Excluded")
+		return
+	}
+	for za0001 := range z.Excluded {
+		err = en.WriteUint32(z.Excluded[za0001])
+		if err != nil {
+			err = msgp.WrapError(err, "Excluded", za0001)
+			return
+		}
+	}
+	err = en.WriteUint32(z.WaitedMs)
+	if err != nil {
+		err = msgp.WrapError(err, "WaitedMs")
+		return
+	}
+	err = en.WriteBool(z.Forwarded)
+	if err != nil {
+		err = msgp.WrapError(err, "Forwarded")
+		return
+	}
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z *SlotRequest) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// array header, size 10
+	o = append(o, 0x9a)
+	o = msgp.AppendUint32(o, z.Seq)
+	o = msgp.AppendUint32(o, z.Cell)
+	o = msgp.AppendUint32(o, z.Rule)
+	o = msgp.AppendUint32(o, z.Customer)
+	o = msgp.AppendUint64(o, z.Chat)
+	o = msgp.AppendUint32(o, z.Prompt)
+	o = msgp.AppendUint32(o, z.Hint)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Excluded)))
+	for za0001 := range z.Excluded {
+		o = msgp.AppendUint32(o, z.Excluded[za0001])
+	}
+	o = msgp.AppendUint32(o, z.WaitedMs)
+	o = msgp.AppendBool(o, z.Forwarded)
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *SlotRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	if zb0001 != 10 {
+		err = msgp.ArrayError{Wanted: 10, Got: zb0001}
+		return
+	}
+	z.Seq, bts, err = msgp.ReadUint32Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Seq")
+		return
+	}
+	z.Cell, bts, err = msgp.ReadUint32Bytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Cell")
+		return
+	}
+	z.Rule, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "WrittenMs")
+		err = msgp.WrapError(err, "Rule")
 		return
 	}
-	return
-}
-
-// EncodeMsg implements msgp.Encodable
-func (z *ShelvedSuspect) EncodeMsg(en *msgp.Writer) (err error) {
-	// array header, size 2
-	err = en.Append(0x92)
+	z.Customer, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
+		err = msgp.WrapError(err, "Customer")
 		return
 	}
-	err = z.Suspect.EncodeMsg(en)
+	z.Chat, bts, err = msgp.ReadUint64Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Suspect")
+		err = msgp.WrapError(err, "Chat")
 		return
 	}
-	err = en.WriteInt64(z.WrittenMs)
+	z.Prompt, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "WrittenMs")
+		err = msgp.WrapError(err, "Prompt")
 		return
 	}
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z *ShelvedSuspect) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// array header, size 2
-	o = append(o, 0x92)
-	o, err = z.Suspect.MarshalMsg(o)
+	z.Hint, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Suspect")
+		err = msgp.WrapError(err, "Hint")
 		return
 	}
-	o = msgp.AppendInt64(o, z.WrittenMs)
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *ShelvedSuspect) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
+	var zb0002 uint32
+	zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err)
+		err = msgp.WrapError(err, "Excluded")
 		return
 	}
-	if zb0001 != 2 {
-		err = msgp.ArrayError{Wanted: 2, Got: zb0001}
+	if zb0002 > z5817a858limitArrays {
+		err = msgp.ErrLimitExceeded
 		return
 	}
-	bts, err = z.Suspect.UnmarshalMsg(bts)
+	if cap(z.Excluded) >= int(zb0002) {
+		z.Excluded = (z.Excluded)[:zb0002]
+	} else {
+		z.Excluded = make([]uint32, zb0002)
+	}
+	for za0001 := range z.Excluded {
+		z.Excluded[za0001], bts, err = msgp.ReadUint32Bytes(bts)
+		if err != nil {
+			err = msgp.WrapError(err, "Excluded", za0001)
+			return
+		}
+	}
+	z.WaitedMs, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Suspect")
+		err = msgp.WrapError(err, "WaitedMs")
 		return
 	}
-	z.WrittenMs, bts, err = msgp.ReadInt64Bytes(bts)
+	z.Forwarded, bts, err = msgp.ReadBoolBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "WrittenMs")
+		err = msgp.WrapError(err, "Forwarded")
 		return
 	}
 	o = bts
@@ -4471,8 +4305,8 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *ShelvedSuspect) Msgsize() (s int) {
-	s = 1 + z.Suspect.Msgsize() + msgp.Int64Size
+func (z *SlotRequest) Msgsize() (s int) {
+	s = 1 + msgp.Uint32Size + msgp.Uint32Size + msgp.Uint32Size + msgp.Uint32Size + msgp.Uint64Size + msgp.Uint32Size + msgp.Uint32Size + msgp.ArrayHeaderSize + (len(z.Excluded) * (msgp.Uint32Size)) + msgp.Uint32Size + msgp.BoolSize
 	return
 }
 
@@ -4950,9 +4784,9 @@
 		err = msgp.WrapError(err, "Next")
 		return
 	}
-	z.Whole, err = dc.ReadBool()
+	z.Snapshot, err = dc.ReadBool()
 	if err != nil {
-		err = msgp.WrapError(err, "Whole")
+		err = msgp.WrapError(err, "Snapshot")
 		return
 	}
 	z.AgeMs, err = dc.ReadUint32()
@@ -4990,14 +4824,14 @@
 		err = msgp.WrapError(err, "Packed")
 		return
 	}
-	z.Elsewhere, err = dc.ReadString()
+	z.RedirectTo, err = dc.ReadString()
 	if err != nil {
-		err = msgp.WrapError(err, "Elsewhere")
+		err = msgp.WrapError(err, "RedirectTo")
 		return
 	}
-	z.ComingMs, err = dc.ReadUint32()
+	z.LastArrivalMs, err = dc.ReadUint32()
 	if err != nil {
-		err = msgp.WrapError(err, "ComingMs")
+		err = msgp.WrapError(err, "LastArrivalMs")
 		return
 	}
 	return
@@ -5015,9 +4849,9 @@
 		err = msgp.WrapError(err, "Next")
 		return
 	}
-	err = en.WriteBool(z.Whole)
+	err = en.WriteBool(z.Snapshot)
 	if err != nil {
-		err = msgp.WrapError(err, "Whole")
+		err = msgp.WrapError(err, "Snapshot")
 		return
 	}
 	err = en.WriteUint32(z.AgeMs)
@@ -5042,14 +4876,14 @@
 		err = msgp.WrapError(err, "Packed")
 		return
 	}
-	err = en.WriteString(z.Elsewhere)
+	err = en.WriteString(z.RedirectTo)
 	if err != nil {
-		err = msgp.WrapError(err, "Elsewhere")
+		err = msgp.WrapError(err, "RedirectTo")
 		return
 	}
-	err = en.WriteUint32(z.ComingMs)
+	err = en.WriteUint32(z.LastArrivalMs)
 	if err != nil {
-		err = msgp.WrapError(err, "ComingMs")
+		err = msgp.WrapError(err, "LastArrivalMs")
 		return
 	}
 	return
@@ -5061,7 +4895,7 @@
 	// array header, size 7
 	o = append(o, 0x97)
 	o = msgp.AppendInt64(o, z.Next)
-	o = msgp.AppendBool(o, z.Whole)
+	o = msgp.AppendBool(o, z.Snapshot)
 	o = msgp.AppendUint32(o, z.AgeMs)
 	o = msgp.AppendArrayHeader(o, uint32(len(z.Records)))
 	for za0001 := range z.Records {
@@ -5072,8 +4906,8 @@
 		}
 	}
 	o = msgp.AppendBytes(o, z.Packed)
-	o = msgp.AppendString(o, z.Elsewhere)
-	o = msgp.AppendUint32(o, z.ComingMs)
+	o = msgp.AppendString(o, z.RedirectTo)
+	o = msgp.AppendUint32(o, z.LastArrivalMs)
 	return
 }
 
@@ -5094,9 +4928,9 @@
 		err = msgp.WrapError(err, "Next")
 		return
 	}
-	z.Whole, bts, err = msgp.ReadBoolBytes(bts)
+	z.Snapshot, bts, err = msgp.ReadBoolBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Whole")
+		err = msgp.WrapError(err, "Snapshot")
 		return
 	}
 	z.AgeMs, bts, err = msgp.ReadUint32Bytes(bts)
@@ -5147,14 +4981,14 @@
 	}
 	copy(z.Packed, bts[:zb0003])
 	bts = bts[zb0003:]
-	z.Elsewhere, bts, err = msgp.ReadStringBytes(bts)
+	z.RedirectTo, bts, err = msgp.ReadStringBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Elsewhere")
+		err = msgp.WrapError(err, "RedirectTo")
 		return
 	}
-	z.ComingMs, bts, err = msgp.ReadUint32Bytes(bts)
+	z.LastArrivalMs, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "ComingMs")
+		err = msgp.WrapError(err, "LastArrivalMs")
 		return
 	}
 	o = bts
@@ -5167,7 +5001,7 @@
 	for za0001 := range z.Records {
 		s += z.Records[za0001].Msgsize()
 	}
-	s += msgp.BytesPrefixSize + len(z.Packed) + msgp.StringPrefixSize + len(z.Elsewhere) + msgp.Uint32Size
+	s += msgp.BytesPrefixSize + len(z.Packed) + msgp.StringPrefixSize + len(z.RedirectTo) + msgp.Uint32Size
 	return
 }
 
@@ -5299,30 +5133,30 @@
 		err = msgp.WrapError(err, "Call")
 		return
 	}
-	z.SeenMs, err = dc.ReadUint32()
+	z.LastSeenMs, err = dc.ReadUint32()
 	if err != nil {
-		err = msgp.WrapError(err, "SeenMs")
+		err = msgp.WrapError(err, "LastSeenMs")
 		return
 	}
 	var zb0002 uint32
 	zb0002, err = dc.ReadArrayHeader()
 	if err != nil {
-		err = msgp.WrapError(err, "Ends")
+		err = msgp.WrapError(err, "Crashes")
 		return
 	}
 	if zb0002 > z5817a858limitArrays {
 		err = msgp.ErrLimitExceeded
 		return
 	}
-	if cap(z.Ends) >= int(zb0002) {
-		z.Ends = (z.Ends)[:zb0002]
+	if cap(z.Crashes) >= int(zb0002) {
+		z.Crashes = (z.Crashes)[:zb0002]
 	} else {
-		z.Ends = make([]SuspectEnd, zb0002)
+		z.Crashes = make([]SuspectCrash, zb0002)
 	}
-	for za0001 := range z.Ends {
-		err = z.Ends[za0001].DecodeMsg(dc)
+	for za0001 := range z.Crashes {
+		err = z.Crashes[za0001].DecodeMsg(dc)
 		if err != nil {
-			err = msgp.WrapError(err, "Ends", za0001)
+			err = msgp.WrapError(err, "Crashes", za0001)
 			return
 		}
 	}
@@ -5341,20 +5175,20 @@
 		err = msgp.WrapError(err, "Call")
 		return
 	}
-	err = en.WriteUint32(z.SeenMs)
+	err = en.WriteUint32(z.LastSeenMs)
 	if err != nil {
-		err = msgp.WrapError(err, "SeenMs")
+		err = msgp.WrapError(err, "LastSeenMs")
 		return
 	}
-	err = en.WriteArrayHeader(uint32(len(z.Ends)))
+	err = en.WriteArrayHeader(uint32(len(z.Crashes)))
 	if err != nil {
-		err = msgp.WrapError(err, "Ends")
+		err = msgp.WrapError(err, "Crashes")
 		return
 	}
-	for za0001 := range z.Ends {
-		err = z.Ends[za0001].EncodeMsg(en)
+	for za0001 := range z.Crashes {
+		err = z.Crashes[za0001].EncodeMsg(en)
 		if err != nil {
-			err = msgp.WrapError(err, "Ends", za0001)
+			err = msgp.WrapError(err, "Crashes", za0001)
 			return
 		}
 	}
@@ -5367,12 +5201,12 @@
 	// array header, size 3
 	o = append(o, 0x93)
 	o = msgp.AppendUint64(o, z.Call)
-	o = msgp.AppendUint32(o, z.SeenMs)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Ends)))
-	for za0001 := range z.Ends {
-		o, err = z.Ends[za0001].MarshalMsg(o)
+	o = msgp.AppendUint32(o, z.LastSeenMs)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Crashes)))
+	for za0001 := range z.Crashes {
+		o, err = z.Crashes[za0001].MarshalMsg(o)
 		if err != nil {
-			err = msgp.WrapError(err, "Ends", za0001)
+			err = msgp.WrapError(err, "Crashes", za0001)
 			return
 		}
 	}
@@ -5396,30 +5230,30 @@
 		err = msgp.WrapError(err, "Call")
 		return
 	}
-	z.SeenMs, bts, err = msgp.ReadUint32Bytes(bts)
+	z.LastSeenMs, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "SeenMs")
+		err = msgp.WrapError(err, "LastSeenMs")
 		return
 	}
 	var zb0002 uint32
 	zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Ends")
+		err = msgp.WrapError(err, "Crashes")
 		return
 	}
 	if zb0002 > z5817a858limitArrays {
 		err = msgp.ErrLimitExceeded
 		return
 	}
-	if cap(z.Ends) >= int(zb0002) {
-		z.Ends = (z.Ends)[:zb0002]
+	if cap(z.Crashes) >= int(zb0002) {
+		z.Crashes = (z.Crashes)[:zb0002]
 	} else {
-		z.Ends = make([]SuspectEnd, zb0002)
+		z.Crashes = make([]SuspectCrash, zb0002)
 	}
-	for za0001 := range z.Ends {
-		bts, err = z.Ends[za0001].UnmarshalMsg(bts)
+	for za0001 := range z.Crashes {
+		bts, err = z.Crashes[za0001].UnmarshalMsg(bts)
 		if err != nil {
-			err = msgp.WrapError(err, "Ends", za0001)
+			err = msgp.WrapError(err, "Crashes", za0001)
 			return
 		}
 	}
@@ -5430,14 +5264,14 @@
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Suspect) Msgsize() (s int) {
 	s = 1 + msgp.Uint64Size + msgp.Uint32Size + msgp.ArrayHeaderSize
-	for za0001 := range z.Ends {
-		s += z.Ends[za0001].Msgsize()
+	for za0001 := range z.Crashes {
+		s += z.Crashes[za0001].Msgsize()
 	}
 	return
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *SuspectEnd) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *SuspectCrash) DecodeMsg(dc *msgp.Reader) (err error) {
 	var zb0001 uint32
 	zb0001, err = dc.ReadArrayHeader()
 	if err != nil {
@@ -5462,21 +5296,21 @@
 		err = msgp.WrapError(err, "AgeMs")
 		return
 	}
-	z.Excused, err = dc.ReadBool()
+	z.Cleared, err = dc.ReadBool()
 	if err != nil {
-		err = msgp.WrapError(err, "Excused")
+		err = msgp.WrapError(err, "Cleared")
 		return
 	}
-	z.Known, err = dc.ReadBool()
+	z.ServedBefore, err = dc.ReadBool()
 	if err != nil {
-		err = msgp.WrapError(err, "Known")
+		err = msgp.WrapError(err, "ServedBefore")
 		return
 	}
 	return
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *SuspectEnd) EncodeMsg(en *msgp.Writer) (err error) {
+func (z *SuspectCrash) EncodeMsg(en *msgp.Writer) (err error) {
 	// array header, size 4
 	err = en.Append(0x94)
 	if err != nil {
@@ -5492,33 +5326,33 @@
 		err = msgp.WrapError(err, "AgeMs")
 		return
 	}
-	err = en.WriteBool(z.Excused)
+	err = en.WriteBool(z.Cleared)
 	if err != nil {
-		err = msgp.WrapError(err, "Excused")
+		err = msgp.WrapError(err, "Cleared")
 		return
 	}
-	err = en.WriteBool(z.Known)
+	err = en.WriteBool(z.ServedBefore)
 	if err != nil {
-		err = msgp.WrapError(err, "Known")
+		err = msgp.WrapError(err, "ServedBefore")
 		return
 	}
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *SuspectEnd) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *SuspectCrash) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// array header, size 4
 	o = append(o, 0x94)
 	o = msgp.AppendUint32(o, z.Target)
 	o = msgp.AppendUint32(o, z.AgeMs)
-	o = msgp.AppendBool(o, z.Excused)
-	o = msgp.AppendBool(o, z.Known)
+	o = msgp.AppendBool(o, z.Cleared)
+	o = msgp.AppendBool(o, z.ServedBefore)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *SuspectEnd) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *SuspectCrash) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var zb0001 uint32
 	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
@@ -5539,14 +5373,14 @@
 		err = msgp.WrapError(err, "AgeMs")
 		return
 	}
-	z.Excused, bts, err = msgp.ReadBoolBytes(bts)
+	z.Cleared, bts, err = msgp.ReadBoolBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Excused")
+		err = msgp.WrapError(err, "Cleared")
 		return
 	}
-	z.Known, bts, err = msgp.ReadBoolBytes(bts)
+	z.ServedBefore, bts, err = msgp.ReadBoolBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Known")
+		err = msgp.WrapError(err, "ServedBefore")
 		return
 	}
 	o = bts
@@ -5554,7 +5388,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *SuspectEnd) Msgsize() (s int) {
+func (z *SuspectCrash) Msgsize() (s int) {
 	s = 1 + msgp.Uint32Size + msgp.Uint32Size + msgp.BoolSize + msgp.BoolSize
 	return
 }
@@ -5597,14 +5431,14 @@
 			return
 		}
 	}
-	z.State, err = dc.ReadUint64()
+	z.Fingerprint, err = dc.ReadUint64()
 	if err != nil {
-		err = msgp.WrapError(err, "State")
+		err = msgp.WrapError(err, "Fingerprint")
 		return
 	}
-	z.Informed, err = dc.ReadBool()
+	z.Synced, err = dc.ReadBool()
 	if err != nil {
-		err = msgp.WrapError(err, "Informed")
+		err = msgp.WrapError(err, "Synced")
 		return
 	}
 	return
@@ -5629,14 +5463,14 @@
 			return
 		}
 	}
-	err = en.WriteUint64(z.State)
+	err = en.WriteUint64(z.Fingerprint)
 	if err != nil {
-		err = msgp.WrapError(err, "State")
+		err = msgp.WrapError(err, "Fingerprint")
 		return
 	}
-	err = en.WriteBool(z.Informed)
+	err = en.WriteBool(z.Synced)
 	if err != nil {
-		err = msgp.WrapError(err, "Informed")
+		err = msgp.WrapError(err, "Synced")
 		return
 	}
 	return
@@ -5655,8 +5489,8 @@
 			return
 		}
 	}
-	o = msgp.AppendUint64(o, z.State)
-	o = msgp.AppendBool(o, z.Informed)
+	o = msgp.AppendUint64(o, z.Fingerprint)
+	o = msgp.AppendBool(o, z.Synced)
 	return
 }
 
@@ -5694,14 +5528,14 @@
 			return
 		}
 	}
-	z.State, bts, err = msgp.ReadUint64Bytes(bts)
+	z.Fingerprint, bts, err = msgp.ReadUint64Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "State")
+		err = msgp.WrapError(err, "Fingerprint")
 		return
 	}
-	z.Informed, bts, err = msgp.ReadBoolBytes(bts)
+	z.Synced, bts, err = msgp.ReadBoolBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Informed")
+		err = msgp.WrapError(err, "Synced")
 		return
 	}
 	o = bts
@@ -5734,9 +5568,9 @@
 		err = msgp.ArrayError{Wanted: 1, Got: zb0001}
 		return
 	}
-	z.State, err = dc.ReadUint64()
+	z.Fingerprint, err = dc.ReadUint64()
 	if err != nil {
-		err = msgp.WrapError(err, "State")
+		err = msgp.WrapError(err, "Fingerprint")
 		return
 	}
 	return
@@ -5749,9 +5583,9 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteUint64(z.State)
+	err = en.WriteUint64(z.Fingerprint)
 	if err != nil {
-		err = msgp.WrapError(err, "State")
+		err = msgp.WrapError(err, "Fingerprint")
 		return
 	}
 	return
@@ -5762,7 +5596,7 @@
 	o = msgp.Require(b, z.Msgsize())
 	// array header, size 1
 	o = append(o, 0x91)
-	o = msgp.AppendUint64(o, z.State)
+	o = msgp.AppendUint64(o, z.Fingerprint)
 	return
 }
 
@@ -5778,9 +5612,9 @@
 		err = msgp.ArrayError{Wanted: 1, Got: zb0001}
 		return
 	}
-	z.State, bts, err = msgp.ReadUint64Bytes(bts)
+	z.Fingerprint, bts, err = msgp.ReadUint64Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "State")
+		err = msgp.WrapError(err, "Fingerprint")
 		return
 	}
 	o = bts
@@ -6028,9 +5862,9 @@
 		err = msgp.WrapError(err, "Call")
 		return
 	}
-	z.Over, err = dc.ReadBool()
+	z.Finished, err = dc.ReadBool()
 	if err != nil {
-		err = msgp.WrapError(err, "Over")
+		err = msgp.WrapError(err, "Finished")
 		return
 	}
 	err = z.Known.DecodeMsg(dc)
@@ -6053,9 +5887,9 @@
 		err = msgp.WrapError(err, "Call")
 		return
 	}
-	err = en.WriteBool(z.Over)
+	err = en.WriteBool(z.Finished)
 	if err != nil {
-		err = msgp.WrapError(err, "Over")
+		err = msgp.WrapError(err, "Finished")
 		return
 	}
 	err = z.Known.EncodeMsg(en)
@@ -6072,7 +5906,7 @@
 	// array header, size 3
 	o = append(o, 0x93)
 	o = msgp.AppendUint64(o, z.Call)
-	o = msgp.AppendBool(o, z.Over)
+	o = msgp.AppendBool(o, z.Finished)
 	o, err = z.Known.MarshalMsg(o)
 	if err != nil {
 		err = msgp.WrapError(err, "Known")
@@ -6098,9 +5932,9 @@
 		err = msgp.WrapError(err, "Call")
 		return
 	}
-	z.Over, bts, err = msgp.ReadBoolBytes(bts)
+	z.Finished, bts, err = msgp.ReadBoolBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Over")
+		err = msgp.WrapError(err, "Finished")
 		return
 	}
 	bts, err = z.Known.UnmarshalMsg(bts)
@@ -6154,35 +5988,255 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteBool(z.Granted)
+	err = en.WriteBool(z.Granted)
+	if err != nil {
+		err = msgp.WrapError(err, "Granted")
+		return
+	}
+	err = z.Known.EncodeMsg(en)
+	if err != nil {
+		err = msgp.WrapError(err, "Known")
+		return
+	}
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z *TrialReply) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// array header, size 2
+	o = append(o, 0x92)
+	o = msgp.AppendBool(o, z.Granted)
+	o, err = z.Known.MarshalMsg(o)
+	if err != nil {
+		err = msgp.WrapError(err, "Known")
+		return
+	}
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *TrialReply) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	if zb0001 != 2 {
+		err = msgp.ArrayError{Wanted: 2, Got: zb0001}
+		return
+	}
+	z.Granted, bts, err = msgp.ReadBoolBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Granted")
+		return
+	}
+	bts, err = z.Known.UnmarshalMsg(bts)
+	if err != nil {
+		err = msgp.WrapError(err, "Known")
+		return
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z *TrialReply) Msgsize() (s int) {
+	s = 1 + msgp.BoolSize + z.Known.Msgsize()
+	return
+}
+
+// DecodeMsg implements msgp.Decodable
+func (z *Update) DecodeMsg(dc *msgp.Reader) (err error) {
+	var zb0001 uint32
+	zb0001, err = dc.ReadArrayHeader()
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	if zb0001 > z5817a858limitArrays {
+		err = msgp.ErrLimitExceeded
+		return
+	}
+	if zb0001 != 2 {
+		err = msgp.ArrayError{Wanted: 2, Got: zb0001}
+		return
+	}
+	var zb0002 uint32
+	zb0002, err = dc.ReadArrayHeader()
+	if err != nil {
+		err = msgp.WrapError(err, "Holders")
+		return
+	}
+	if zb0002 > z5817a858limitArrays {
+		err = msgp.ErrLimitExceeded
+		return
+	}
+	if cap(z.Holders) >= int(zb0002) {
+		z.Holders = (z.Holders)[:zb0002]
+	} else {
+		z.Holders = make([]Holder, zb0002)
+	}
+	for za0001 := range z.Holders {
+		var zb0003 uint32
+		zb0003, err = dc.ReadArrayHeader()
+		if err != nil {
+			err = msgp.WrapError(err, "Holders", za0001)
+			return
+		}
+		if zb0003 > z5817a858limitArrays {
+			err = msgp.ErrLimitExceeded
+			return
+		}
+		if zb0003 != 2 {
+			err = msgp.ArrayError{Wanted: 2, Got: zb0003}
+			return
+		}
+		z.Holders[za0001].Key, err = dc.ReadUint64()
+		if err != nil {
+			err = msgp.WrapError(err, "Holders", za0001, "Key")
+			return
+		}
+		z.Holders[za0001].Target, err = dc.ReadUint32()
+		if err != nil {
+			err = msgp.WrapError(err, "Holders", za0001, "Target")
+			return
+		}
+	}
+	var zb0004 uint32
+	zb0004, err = dc.ReadArrayHeader()
+	if err != nil {
+		err = msgp.WrapError(err, "Loads")
+		return
+	}
+	if zb0004 > z5817a858limitArrays {
+		err = msgp.ErrLimitExceeded
+		return
+	}
+	if cap(z.Loads) >= int(zb0004) {
+		z.Loads = (z.Loads)[:zb0004]
+	} else {
+		z.Loads = make([]LoadReport, zb0004)
+	}
+	for za0002 := range z.Loads {
+		var zb0005 uint32
+		zb0005, err = dc.ReadArrayHeader()
+		if err != nil {
+			err = msgp.WrapError(err, "Loads", za0002)
+			return
+		}
+		if zb0005 > z5817a858limitArrays {
+			err = msgp.ErrLimitExceeded
+			return
+		}
+		if zb0005 != 3 {
+			err = msgp.ArrayError{Wanted: 3, Got: zb0005}
+			return
+		}
+		z.Loads[za0002].Target, err = dc.ReadUint32()
+		if err != nil {
+			err = msgp.WrapError(err, "Loads", za0002, "Target")
+			return
+		}
+		z.Loads[za0002].Calls, err = dc.ReadUint32()
+		if err != nil {
+			err = msgp.WrapError(err, "Loads", za0002, "Calls")
+			return
+		}
+		z.Loads[za0002].AgeMs, err = dc.ReadUint32()
+		if err != nil {
+			err = msgp.WrapError(err, "Loads", za0002, "AgeMs")
+			return
+		}
+	}
+	return
+}
+
+// EncodeMsg implements msgp.Encodable
+func (z *Update) EncodeMsg(en *msgp.Writer) (err error) {
+	// array header, size 2
+	err = en.Append(0x92)
+	if err != nil {
+		return
+	}
+	err = en.WriteArrayHeader(uint32(len(z.Holders)))
+	if err != nil {
+		err = msgp.WrapError(err, "Holders")
+		return
+	}
+	for za0001 := range z.Holders {
+		// array header, size 2
+		err = en.Append(0x92)
+		if err != nil {
+			return
+		}
+		err = en.WriteUint64(z.Holders[za0001].Key)
+		if err != nil {
+			err = msgp.WrapError(err, "Holders", za0001, "Key")
+			return
+		}
+		err = en.WriteUint32(z.Holders[za0001].Target)
+		if err != nil {
+			err = msgp.WrapError(err, "Holders", za0001, "Target")
+			return
+		}
+	}
+	err = en.WriteArrayHeader(uint32(len(z.Loads)))
 	if err != nil {
-		err = msgp.WrapError(err, "Granted")
+		err = msgp.WrapError(err, "Loads")
 		return
 	}
-	err = z.Known.EncodeMsg(en)
-	if err != nil {
-		err = msgp.WrapError(err, "Known")
-		return
+	for za0002 := range z.Loads {
+		// array header, size 3
+		err = en.Append(0x93)
+		if err != nil {
+			return
+		}
+		err = en.WriteUint32(z.Loads[za0002].Target)
+		if err != nil {
+			err = msgp.WrapError(err, "Loads", za0002, "Target")
+			return
+		}
+		err = en.WriteUint32(z.Loads[za0002].Calls)
+		if err != nil {
+			err = msgp.WrapError(err, "Loads", za0002, "Calls")
+			return
+		}
+		err = en.WriteUint32(z.Loads[za0002].AgeMs)
+		if err != nil {
+			err = msgp.WrapError(err, "Loads", za0002, "AgeMs")
+			return
+		}
 	}
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *TrialReply) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *Update) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// array header, size 2
 	o = append(o, 0x92)
-	o = msgp.AppendBool(o, z.Granted)
-	o, err = z.Known.MarshalMsg(o)
-	if err != nil {
-		err = msgp.WrapError(err, "Known")
-		return
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Holders)))
+	for za0001 := range z.Holders {
+		// array header, size 2
+		o = append(o, 0x92)
+		o = msgp.AppendUint64(o, z.Holders[za0001].Key)
+		o = msgp.AppendUint32(o, z.Holders[za0001].Target)
+	}
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Loads)))
+	for za0002 := range z.Loads {
+		// array header, size 3
+		o = append(o, 0x93)
+		o = msgp.AppendUint32(o, z.Loads[za0002].Target)
+		o = msgp.AppendUint32(o, z.Loads[za0002].Calls)
+		o = msgp.AppendUint32(o, z.Loads[za0002].AgeMs)
 	}
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *TrialReply) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *Update) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var zb0001 uint32
 	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
@@ -6193,23 +6247,92 @@
 		err = msgp.ArrayError{Wanted: 2, Got: zb0001}
 		return
 	}
-	z.Granted, bts, err = msgp.ReadBoolBytes(bts)
+	var zb0002 uint32
+	zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Granted")
+		err = msgp.WrapError(err, "Holders")
 		return
 	}
-	bts, err = z.Known.UnmarshalMsg(bts)
+	if zb0002 > z5817a858limitArrays {
+		err = msgp.ErrLimitExceeded
+		return
+	}
+	if cap(z.Holders) >= int(zb0002) {
+		z.Holders = (z.Holders)[:zb0002]
+	} else {
+		z.Holders = make([]Holder, zb0002)
+	}
+	for za0001 := range z.Holders {
+		var zb0003 uint32
+		zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
+		if err != nil {
+			err = msgp.WrapError(err, "Holders", za0001)
+			return
+		}
+		if zb0003 != 2 {
+			err = msgp.ArrayError{Wanted: 2, Got: zb0003}
+			return
+		}
+		z.Holders[za0001].Key, bts, err = msgp.ReadUint64Bytes(bts)
+		if err != nil {
+			err = msgp.WrapError(err, "Holders", za0001, "Key")
+			return
+		}
+		z.Holders[za0001].Target, bts, err = msgp.ReadUint32Bytes(bts)
+		if err != nil {
+			err = msgp.WrapError(err, "Holders", za0001, "Target")
+			return
+		}
+	}
+	var zb0004 uint32
+	zb0004, bts, err = msgp.ReadArrayHeaderBytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Known")
+		err = msgp.WrapError(err, "Loads")
+		return
+	}
+	if zb0004 > z5817a858limitArrays {
+		err = msgp.ErrLimitExceeded
 		return
 	}
+	if cap(z.Loads) >= int(zb0004) {
+		z.Loads = (z.Loads)[:zb0004]
+	} else {
+		z.Loads = make([]LoadReport, zb0004)
+	}
+	for za0002 := range z.Loads {
+		var zb0005 uint32
+		zb0005, bts, err = msgp.ReadArrayHeaderBytes(bts)
+		if err != nil {
+			err = msgp.WrapError(err, "Loads", za0002)
+			return
+		}
+		if zb0005 != 3 {
+			err = msgp.ArrayError{Wanted: 3, Got: zb0005}
+			return
+		}
+		z.Loads[za0002].Target, bts, err = msgp.ReadUint32Bytes(bts)
+		if err != nil {
+			err = msgp.WrapError(err, "Loads", za0002, "Target")
+			return
+		}
+		z.Loads[za0002].Calls, bts, err = msgp.ReadUint32Bytes(bts)
+		if err != nil {
+			err = msgp.WrapError(err, "Loads", za0002, "Calls")
+			return
+		}
+		z.Loads[za0002].AgeMs, bts, err = msgp.ReadUint32Bytes(bts)
+		if err != nil {
+			err = msgp.WrapError(err, "Loads", za0002, "AgeMs")
+			return
+		}
+	}
 	o = bts
 	return
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *TrialReply) Msgsize() (s int) {
-	s = 1 + msgp.BoolSize + z.Known.Msgsize()
+func (z *Update) Msgsize() (s int) {
+	s = 1 + msgp.ArrayHeaderSize + (len(z.Holders) * (12 + msgp.Uint64Size + msgp.Uint32Size)) + msgp.ArrayHeaderSize + (len(z.Loads) * (20 + msgp.Uint32Size + msgp.Uint32Size + msgp.Uint32Size))
 	return
 }
 
@@ -6239,14 +6362,14 @@
 		err = msgp.WrapError(err, "Number")
 		return
 	}
-	z.Sign, err = dc.ReadUint8()
+	z.Result, err = dc.ReadUint8()
 	if err != nil {
-		err = msgp.WrapError(err, "Sign")
+		err = msgp.WrapError(err, "Result")
 		return
 	}
-	z.Pace, err = dc.ReadUint32()
+	z.Latency, err = dc.ReadUint32()
 	if err != nil {
-		err = msgp.WrapError(err, "Pace")
+		err = msgp.WrapError(err, "Latency")
 		return
 	}
 	return
@@ -6269,14 +6392,14 @@
 		err = msgp.WrapError(err, "Number")
 		return
 	}
-	err = en.WriteUint8(z.Sign)
+	err = en.WriteUint8(z.Result)
 	if err != nil {
-		err = msgp.WrapError(err, "Sign")
+		err = msgp.WrapError(err, "Result")
 		return
 	}
-	err = en.WriteUint32(z.Pace)
+	err = en.WriteUint32(z.Latency)
 	if err != nil {
-		err = msgp.WrapError(err, "Pace")
+		err = msgp.WrapError(err, "Latency")
 		return
 	}
 	return
@@ -6289,8 +6412,8 @@
 	o = append(o, 0x94)
 	o = msgp.AppendUint32(o, z.Target)
 	o = msgp.AppendUint64(o, z.Number)
-	o = msgp.AppendUint8(o, z.Sign)
-	o = msgp.AppendUint32(o, z.Pace)
+	o = msgp.AppendUint8(o, z.Result)
+	o = msgp.AppendUint32(o, z.Latency)
 	return
 }
 
@@ -6316,14 +6439,14 @@
 		err = msgp.WrapError(err, "Number")
 		return
 	}
-	z.Sign, bts, err = msgp.ReadUint8Bytes(bts)
+	z.Result, bts, err = msgp.ReadUint8Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Sign")
+		err = msgp.WrapError(err, "Result")
 		return
 	}
-	z.Pace, bts, err = msgp.ReadUint32Bytes(bts)
+	z.Latency, bts, err = msgp.ReadUint32Bytes(bts)
 	if err != nil {
-		err = msgp.WrapError(err, "Pace")
+		err = msgp.WrapError(err, "Latency")
 		return
 	}
 	o = bts
@@ -6335,126 +6458,3 @@
 	s = 1 + msgp.Uint32Size + msgp.Uint64Size + msgp.Uint8Size + msgp.Uint32Size
 	return
 }
-
-// DecodeMsg implements msgp.Decodable
-func (z *Verdict) DecodeMsg(dc *msgp.Reader) (err error) {
-	var zb0001 uint32
-	zb0001, err = dc.ReadArrayHeader()
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	if zb0001 > z5817a858limitArrays {
-		err = msgp.ErrLimitExceeded
-		return
-	}
-	if zb0001 != 4 {
-		err = msgp.ArrayError{Wanted: 4, Got: zb0001}
-		return
-	}
-	z.Reason, err = dc.ReadUint8()
-	if err != nil {
-		err = msgp.WrapError(err, "Reason")
-		return
-	}
-	z.Target, err = dc.ReadUint32()
-	if err != nil {
-		err = msgp.WrapError(err, "Target")
-		return
-	}
-	z.Flags, err = dc.ReadUint8()
-	if err != nil {
-		err = msgp.WrapError(err, "Flags")
-		return
-	}
-	z.RetryAfterMs, err = dc.ReadUint32()
-	if err != nil {
-		err = msgp.WrapError(err, "RetryAfterMs")
-		return
-	}
-	return
-}
-
-// EncodeMsg implements msgp.Encodable
-func (z *Verdict) EncodeMsg(en *msgp.Writer) (err error) {
-	// array header, size 4
-	err = en.Append(0x94)
-	if err != nil {
-		return
-	}
-	err = en.WriteUint8(z.Reason)
-	if err != nil {
-		err = msgp.WrapError(err, "Reason")
-		return
-	}
-	err = en.WriteUint32(z.Target)
-	if err != nil {
-		err = msgp.WrapError(err, "Target")
-		return
-	}
-	err = en.WriteUint8(z.Flags)
-	if err != nil {
-		err = msgp.WrapError(err, "Flags")
-		return
-	}
-	err = en.WriteUint32(z.RetryAfterMs)
-	if err != nil {
-		err = msgp.WrapError(err, "RetryAfterMs")
-		return
-	}
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z *Verdict) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// array header, size 4
-	o = append(o, 0x94)
-	o = msgp.AppendUint8(o, z.Reason)
-	o = msgp.AppendUint32(o, z.Target)
-	o = msgp.AppendUint8(o, z.Flags)
-	o = msgp.AppendUint32(o, z.RetryAfterMs)
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *Verdict) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadArrayHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	if zb0001 != 4 {
-		err = msgp.ArrayError{Wanted: 4, Got: zb0001}
-		return
-	}
-	z.Reason, bts, err = msgp.ReadUint8Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Reason")
-		return
-	}
-	z.Target, bts, err = msgp.ReadUint32Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Target")
-		return
-	}
-	z.Flags, bts, err = msgp.ReadUint8Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "Flags")
-		return
-	}
-	z.RetryAfterMs, bts, err = msgp.ReadUint32Bytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err, "RetryAfterMs")
-		return
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Verdict) Msgsize() (s int) {
-	s = 1 + msgp.Uint8Size + msgp.Uint32Size + msgp.Uint8Size + msgp.Uint32Size
-	return
-}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -11,9 +11,9 @@
 	"github.com/auburntray/auburntray/internal/wire"
 )
 
-// claimed returns a message of so many fields, of which the one after some empty ones claims to
-// be a list of sixteen million and ends there.
-func claimed(fields, before int) []byte {
+// oversized returns a truncated message with the given number of fields: some empty lists, then a
+// list that declares 2^24 elements and has none.
+func oversized(fields, before int) []byte {
 	const (
 		fixArray = 0x90
 		array32  = 0xdd
@@ -28,25 +28,25 @@
 	return binary.BigEndian.AppendUint32(append(b, array32), elements)
 }
 
-// An instance ends for want of memory as it reads ten bytes of a peer, and again each time that it
-// is told them: a list's length is believed before its elements are there.
-func TestListsThatClaimTooMuch(t *testing.T) {
-	const most = 32 << 20
+// Guards against an instance that runs out of memory on a message of ten bytes, because the decoder
+// allocates a list from its declared length before it reads the elements.
+func TestOversizedListLengths(t *testing.T) {
+	const maxAllocated = 32 << 20
 
 	for name, x := range map[string]struct {
 		message msgp.Unmarshaler
 		body    []byte
 	}{
-		"places":          {&wire.News{}, claimed(2, 0)},
-		"loads":           {&wire.News{}, claimed(2, 1)},
-		"processes":       {&wire.Gone{}, claimed(2, 0)},
-		"starts":          {&wire.Gone{}, claimed(2, 1)},
-		"suspected calls": {&wire.Suspects{}, claimed(3, 0)},
-		"ends":            {&wire.Suspects{}, append([]byte{0x93, 0x91}, append([]byte{0x93, 0x01, 0x01}, claimed(0, 0)[1:]...)...)},
-		"released calls":  {&wire.ReleaseRequest{}, claimed(2, 0)},
-		"records":         {&wire.StreamRecords{}, claimed(1, 0)},
-		"a value":         {&wire.StreamRecord{}, []byte{0x94, 0xa0, 0xc6, 0xff, 0xff, 0xff, 0xff}},
-		"a short form":    {&wire.StreamReply{}, []byte{0x95, 0x00, 0xc2, 0x00, 0x90, 0xc6, 0xff, 0xff, 0xff, 0xff}},
+		"prompt prefixes": {&wire.Update{}, oversized(2, 0)},
+		"loads":           {&wire.Update{}, oversized(2, 1)},
+		"processes":       {&wire.Gone{}, oversized(2, 0)},
+		"starts":          {&wire.Gone{}, oversized(2, 1)},
+		"suspected calls": {&wire.Suspects{}, oversized(3, 0)},
+		"crashes":         {&wire.Suspects{}, append([]byte{0x93, 0x91}, append([]byte{0x93, 0x01, 0x01}, oversized(0, 0)[1:]...)...)},
+		"released calls":  {&wire.ReleaseRequest{}, oversized(2, 0)},
+		"records":         {&wire.StreamRecords{}, oversized(1, 0)},
+		"record value":    {&wire.StreamRecord{}, []byte{0x94, 0xa0, 0xc6, 0xff, 0xff, 0xff, 0xff}},
+		"packed records":  {&wire.StreamReply{}, []byte{0x95, 0x00, 0xc2, 0x00, 0x90, 0xc6, 0xff, 0xff, 0xff, 0xff}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -59,14 +59,14 @@
 
 			runtime.ReadMemStats(&b)
 			is.True(err != nil)
-			is.True(b.TotalAlloc-a.TotalAlloc < most)
+			is.True(b.TotalAlloc-a.TotalAlloc < maxAllocated)
 		})
 	}
 }
 
-// Guards against a configuration that no instance can tell another: the bound on the elements of a list held
-// for the bytes of a value too.
-func TestLongValuesAreRead(t *testing.T) {
+// Guards against a long configuration that instances cannot send to each other: the limit on the elements
+// of a list also applied to the bytes of a value.
+func TestLongValues(t *testing.T) {
 	v := make([]byte, 4<<20)
 
 	for name, x := range map[string]struct {
@@ -76,27 +76,27 @@
 		}
 		value func(m any) int
 	}{
-		"a record's value": {
+		"record value": {
 			&wire.StreamRecord{Value: v}, &wire.StreamRecord{},
 			func(m any) int { return len(m.(*wire.StreamRecord).Value) },
 		},
-		"records in their short form": {
+		"packed records": {
 			&wire.StreamReply{Packed: v}, &wire.StreamReply{},
 			func(m any) int { return len(m.(*wire.StreamReply).Packed) },
 		},
-		"the state of the router's configuration": {
+		"router configuration": {
 			&wire.StateReply{Body: v}, &wire.StateReply{},
 			func(m any) int { return len(m.(*wire.StateReply).Body) },
 		},
-		"the answer to a call that runs once": {
+		"answer to a claimed call": {
 			&wire.Settle{Answer: v}, &wire.Settle{},
 			func(m any) int { return len(m.(*wire.Settle).Answer) },
 		},
-		"such an answer, told again": {
+		"answer in a claim reply": {
 			&wire.ClaimReply{Answer: v}, &wire.ClaimReply{},
 			func(m any) int { return len(m.(*wire.ClaimReply).Answer) },
 		},
-		"such an answer, in the log": {
+		"answer in the log": {
 			&wire.ClaimRecord{Answer: v}, &wire.ClaimRecord{},
 			func(m any) int { return len(m.(*wire.ClaimRecord).Answer) },
 		},
--- a/pkg/publisher/reader.go
+++ b/pkg/publisher/config_reader.go
@@ -12,30 +12,31 @@
 	"github.com/auburntray/auburntray/internal/reducer"
 )
 
-// reader folds the configuration stream as the routers do.
-type reader struct {
+// configReader applies the records of the configuration stream as the routers do.
+type configReader struct {
 	log     log
 	reducer *reducer.Reducer
-	// verdicts are what became of each publication, by its ID; the first
-	// verdict but stale stands, as a repeated append is stale after the first.
+	// verdicts are the verdicts on the publications, by ID. The first verdict other than
+	// stale is final, since further records of a repeated append are stale.
 	verdicts map[string]reducer.Verdict
-	// revisions are those that accepted publications made, by their IDs.
+	// revisions are the revisions created by accepted publications, by ID.
 	revisions map[string]uint64
 	history   []Entry
 }
 
-func newReader(l log) *reader {
-	return &reader{
+func newConfigReader(l log) *configReader {
+	return &configReader{
 		log: l, reducer: reducer.New(), verdicts: make(map[string]reducer.Verdict), revisions: make(map[string]uint64),
 	}
 }
 
-// read folds up to the end of the stream.
-func (r *reader) read(c context.Context) error {
+// read applies all records up to the end of the stream. It fails with ErrUnavailable or
+// ErrNoState.
+func (r *configReader) read(c context.Context) error {
 	for {
 		n := r.reducer.Next()
 
-		if err := r.step(c, 0); err != nil {
+		if err := r.readBatch(c, 0); err != nil {
 			return errors.Mark(errors.Wrap(err, ErrUnavailable.Error()), ErrUnavailable)
 		}
 
@@ -51,8 +52,8 @@
 	return nil
 }
 
-// step reads once, waiting for records up to a time, and folds them.
-func (r *reader) step(c context.Context, wait time.Duration) error {
+// readBatch reads once, waiting up to the given time for records, and applies them.
+func (r *configReader) readBatch(c context.Context, wait time.Duration) error {
 	b, err := r.log.Read(c, follower.Stream, r.reducer.Next(), wait)
 	if err != nil {
 		return err
@@ -61,13 +62,13 @@
 	r.reducer.Skip(b.Oldest)
 
 	for _, x := range b.Records {
-		r.fold(x)
+		r.apply(x)
 	}
 
 	return nil
 }
 
-func (r *reader) fold(x recorder.Record) {
+func (r *configReader) apply(x recorder.Record) {
 	var y reducer.Record
 	if err := json.Unmarshal(x.Data, &y); err != nil {
 		y = reducer.Record{}
@@ -91,19 +92,19 @@
 	r.history = append(r.history, e)
 }
 
-// result turns a record's verdict into the publication's, with the revision that it made, or, when
-// it made none, the one in force.
-func (r *reader) result(id string, v reducer.Verdict) Result {
+// result returns the result of a publication by the verdict on its record. The revision is the one that
+// the publication created or, when it created none, the one in force.
+func (r *configReader) result(id string, v reducer.Verdict) Result {
 	o := Result{ID: id, Revision: r.reducer.State().Revision, Outcome: Stale}
 
 	switch v {
 	case reducer.Accepted:
-		// Others may have published since. Their revision in place of its own would have
-		// the publisher's next change undo theirs, which it has not seen.
+		// Others may have published since. With their revision as its base, the publisher's
+		// next change would undo theirs without the publisher having seen it.
 		o.Outcome = Accepted
 		o.Revision = r.revisions[id]
 	case reducer.Ignored, reducer.Restored:
-		// The record is older than the state that the log still explains.
+		// The record precedes the oldest state that can be derived from the log.
 		o.Outcome = Unknown
 	case reducer.Stale, reducer.Invalid:
 	}
--- a/pkg/publisher/publisher.go
+++ b/pkg/publisher/publisher.go
@@ -1,5 +1,5 @@
-// Package publisher publishes configurations for a fleet of auburntray routers,
-// and shows which are in force.
+// Package publisher publishes configurations to a fleet of auburntray routers,
+// and reads the configuration in force and the history.
 package publisher
 
 import (
@@ -18,24 +18,24 @@
 	"github.com/auburntray/auburntray/internal/reducer"
 )
 
-// Outcome is what became of a publication.
+// Outcome is the outcome of a publication.
 type Outcome string
 
 // The outcomes.
 const (
 	// Accepted means that the change was read back from the log as in force.
 	Accepted Outcome = "accepted"
-	// Stale means that another change came first; the base is no longer in
-	// force and nothing was changed.
+	// Stale means that another change was published first: the base is no longer
+	// in force, and nothing was changed.
 	Stale Outcome = "stale"
-	// NoChange means that the document is in force as it is.
+	// NoChange means that the document equals the configuration in force.
 	NoChange Outcome = "noChange"
 	// DryRun means that the change is valid and was not published.
 	DryRun Outcome = "dryRun"
-	// NotRun means that the change is provably not in the log.
+	// NotRun means that the change is certainly not in the log.
 	NotRun Outcome = "notRun"
-	// Unknown means that the change may be in the log. Publishing it again
-	// under the same ID tells, and can't apply it twice.
+	// Unknown means that the change may be in the log. Publishing it again under
+	// the same ID returns its outcome, and cannot apply it twice.
 	Unknown Outcome = "unknown"
 )
 
@@ -46,12 +46,12 @@
 	// any other revision is stale.
 	Base   uint64
 	Author string
-	// ID names the publication; empty takes a new one.
+	// ID identifies the publication; empty means a new random ID.
 	ID     string
 	DryRun bool
 }
 
-// Result is what became of a publication.
+// Result is the result of a publication.
 type Result struct {
 	Outcome  Outcome  `json:"outcome"`
 	ID       string   `json:"id"`
@@ -59,7 +59,7 @@
 	Changes  []string `json:"changes"`
 }
 
-// State is a configuration in force.
+// State is a configuration that is or was in force.
 type State struct {
 	Revision uint64          `json:"revision"`
 	Base     uint64          `json:"base"`
@@ -81,8 +81,8 @@
 }
 
 const (
-	readBack      = 10 * time.Second
-	readBackPause = 250 * time.Millisecond
+	readBackTimeout = 10 * time.Second
+	retryInterval   = 250 * time.Millisecond
 )
 
 // log reads and appends to the platform's log.
@@ -91,23 +91,23 @@
 	Append(c context.Context, stream string, data [][]byte) (uint64, error)
 }
 
-// Publisher is an operator's client. It is safe for concurrent use.
+// Publisher is a client for operators. It is safe for concurrent use.
 type Publisher struct {
 	log log
 }
 
-// New returns a Publisher for the platform at an address, as seen from a data
-// centre, and its clean-up function.
+// New returns a Publisher for the platform at an address, and its clean-up function.
+// The data centre is the caller's, which the platform receives with each request.
 func New(platform netip.AddrPort, centre string) (*Publisher, func()) {
 	r, f := recorder.New(platform, centre)
 
 	return &Publisher{log: r}, f
 }
 
-// Publish publishes a document. It answers Accepted only after its own record
-// was read back from the log in its place: an append that was acknowledged may
-// still have lost a race. It fails with ErrDocument, ErrUnavailable or
-// ErrNoState, when nothing was done.
+// Publish publishes a document. It returns Accepted only after it has read its own
+// record back from the log and applied it: the record of an acknowledged append may
+// still be stale, if another publication was appended before it. It fails with
+// ErrDocument, ErrUnavailable or ErrNoState; nothing was published then.
 func (p *Publisher) Publish(c context.Context, r Request) (Result, error) {
 	d, err := parser.Parse(r.Document)
 	if err != nil {
@@ -118,7 +118,7 @@
 		r.ID = uuid.NewString()
 	}
 
-	f := newReader(p.log)
+	f := newConfigReader(p.log)
 	if err := f.read(c); err != nil {
 		return Result{}, err
 	}
@@ -145,10 +145,10 @@
 	return o, nil
 }
 
-// Drain publishes the configuration in force with one target's drain set or
-// cleared.
+// Drain publishes the configuration in force with the drain flag of one target set or
+// cleared. It fails with ErrNoTarget, and as Publish does.
 func (p *Publisher) Drain(c context.Context, target, author string, drain bool) (Result, error) {
-	f := newReader(p.log)
+	f := newConfigReader(p.log)
 	if err := f.read(c); err != nil {
 		return Result{}, err
 	}
@@ -171,9 +171,10 @@
 	return p.Publish(c, Request{Document: b, Base: s.Revision, Author: author})
 }
 
-// Show returns the configuration in force. Revision 0 means none.
+// Show returns the configuration in force. Revision 0 means that there is none. It fails
+// with ErrUnavailable or ErrNoState.
 func (p *Publisher) Show(c context.Context) (State, error) {
-	f := newReader(p.log)
+	f := newConfigReader(p.log)
 	if err := f.read(c); err != nil {
 		return State{}, err
 	}
@@ -181,9 +182,10 @@
 	return state(f.reducer.State())
 }
 
-// History returns what the log holds of past publications, the oldest first.
+// History returns the publications that the log retains, the oldest first. It fails with
+// ErrUnavailable or ErrNoState.
 func (p *Publisher) History(c context.Context) ([]Entry, error) {
-	f := newReader(p.log)
+	f := newConfigReader(p.log)
 	if err := f.read(c); err != nil {
 		return nil, err
 	}
@@ -191,15 +193,15 @@
 	return f.history, nil
 }
 
-// Watch calls f with each configuration that comes into force, the present one
-// first, until the context ends. While the log can't be read it tries again.
+// Watch calls f with the configuration in force, and then with each one that comes into
+// force, until the context is done. While the log cannot be read it retries.
 func (p *Publisher) Watch(c context.Context, f func(State)) error {
-	r := newReader(p.log)
+	r := newConfigReader(p.log)
 	n := uint64(0)
 
 	for c.Err() == nil {
-		if err := r.step(c, readBack); err != nil {
-			pause(c)
+		if err := r.readBatch(c, readBackTimeout); err != nil {
+			waitRetry(c)
 
 			continue
 		}
@@ -219,10 +221,10 @@
 	return nil
 }
 
-// publish appends a change and reads it back. The append is repeated while its
-// effect is uncertain: the same change on the same base is in force at most
-// once, since the first one moves the base.
-func (p *Publisher) publish(c context.Context, f *reader, r Request, x differ.Change) (Result, error) {
+// publish appends a change and reads it back. It repeats the append while the effect is
+// uncertain. This applies the change at most once, since the first record that is accepted
+// makes the base of the others stale.
+func (p *Publisher) publish(c context.Context, f *configReader, r Request, x differ.Change) (Result, error) {
 	b, err := json.Marshal(reducer.Record{ID: r.ID, Author: r.Author, Time: time.Now(), Base: r.Base, Change: &x})
 	if err != nil {
 		return Result{}, errors.Mark(err, ErrDocument)
@@ -230,7 +232,7 @@
 
 	o := Result{Outcome: NotRun, ID: r.ID, Changes: x.Lines()}
 
-	c, stop := context.WithTimeout(c, readBack)
+	c, stop := context.WithTimeout(c, readBackTimeout)
 	defer stop()
 
 	for c.Err() == nil {
@@ -252,7 +254,7 @@
 			return o, errors.Mark(errors.Wrap(err, ErrUnavailable.Error()), ErrUnavailable)
 		}
 
-		pause(c)
+		waitRetry(c)
 	}
 
 	return o, nil
@@ -267,8 +269,9 @@
 	return State{Revision: s.Revision, Base: s.Base, ID: s.ID, Author: s.Author, Time: s.Time, Document: b}, nil
 }
 
-func pause(c context.Context) {
-	t := time.NewTimer(readBackPause)
+// waitRetry waits for the retry interval or until the context is done.
+func waitRetry(c context.Context) {
+	t := time.NewTimer(retryInterval)
 	defer t.Stop()
 
 	select {
--- a/pkg/publisher/publisher_test.go
+++ b/pkg/publisher/publisher_test.go
@@ -42,13 +42,13 @@
 		faults  platform.Faults
 		want    publisher.Outcome
 	}{
-		"accepted":                    {publisher.Request{Document: document(2), Base: 1}, platform.Faults{}, publisher.Accepted},
-		"on an older base":            {publisher.Request{Document: document(2)}, platform.Faults{}, publisher.Stale},
-		"what is in force":            {publisher.Request{Document: document(1), Base: 1}, platform.Faults{}, publisher.NoChange},
-		"a dry run":                   {publisher.Request{Document: document(2), Base: 1, DryRun: true}, platform.Faults{}, publisher.DryRun},
-		"the reply is lost":           {publisher.Request{Document: document(2), Base: 1}, platform.Faults{LoseReplies: 2}, publisher.Accepted},
-		"again under the same id":     {publisher.Request{Document: document(1), ID: "first"}, platform.Faults{}, publisher.Accepted},
-		"the log is slow, not broken": {publisher.Request{Document: document(2), Base: 1}, platform.Faults{SlowMs: 30}, publisher.Accepted},
+		"accepted":          {publisher.Request{Document: document(2), Base: 1}, platform.Faults{}, publisher.Accepted},
+		"older base":        {publisher.Request{Document: document(2)}, platform.Faults{}, publisher.Stale},
+		"document in force": {publisher.Request{Document: document(1), Base: 1}, platform.Faults{}, publisher.NoChange},
+		"dry run":           {publisher.Request{Document: document(2), Base: 1, DryRun: true}, platform.Faults{}, publisher.DryRun},
+		"lost replies":      {publisher.Request{Document: document(2), Base: 1}, platform.Faults{LoseReplies: 2}, publisher.Accepted},
+		"repeated ID":       {publisher.Request{Document: document(1), ID: "first"}, platform.Faults{}, publisher.Accepted},
+		"slow log":          {publisher.Request{Document: document(2), Base: 1}, platform.Faults{SlowMs: 30}, publisher.Accepted},
 	} {
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
@@ -70,9 +70,9 @@
 	}
 }
 
-// The log is down. The operator must not be told that the change is in force,
-// nor lose it: the next shift would trust what is not there.
-func TestAnOutageIsNeverAFalseYes(t *testing.T) {
+// Guards against a publication that is reported as accepted, or partly applied, while the
+// log is unavailable: operators would rely on a change that is not in force.
+func TestPublishDuringOutage(t *testing.T) {
 	i := is.New(t)
 	p, x := newPublisher(t, time.Hour)
 	p.SetFaults(platform.Faults{Outage: true})
@@ -115,10 +115,10 @@
 	i.Equal(h[1].Verdict, "accepted")
 }
 
-// A shift publishes, its reply is lost, and another shift publishes before it finds out what became
-// of it. It was told the other's revision as its own, and would have published its next change on
-// that without having seen it: the other shift's change would be undone, and nobody told.
-func TestAcceptedNamesItsOwnRevision(t *testing.T) {
+// Guards against a publication that is undone unnoticed: the reply to one publication was lost, another
+// one was accepted, and a repetition of the first returned the revision of the second as its own. The
+// next change would have been published on that revision without including the second change.
+func TestAcceptedReturnsItsOwnRevision(t *testing.T) {
 	i := is.New(t)
 	_, x := newPublisher(t, time.Hour)
 
@@ -133,15 +133,14 @@
 	i.Equal(r.Outcome, publisher.Accepted)
 	i.Equal(r.Revision, uint64(2))
 
-	// One that was not accepted is told what is in force.
+	// A publication that is not accepted returns the revision in force.
 	r, err = x.Publish(t.Context(), publisher.Request{Base: 1, Document: document(9)})
 	i.NoErr(err)
 	i.Equal(r.Outcome, publisher.Stale)
 	i.Equal(r.Revision, uint64(3))
 }
 
-// input is an operation on the configuration: a publication on a base, or a
-// read.
+// input is an operation on the configuration: a publication on a base, or a read.
 type input struct {
 	publish bool
 	base    uint64
@@ -154,7 +153,7 @@
 	weight   int
 }
 
-// model is the configuration as operators see it: one register with a revision,
+// model is the sequential specification of the configuration: a register with a revision,
 // which a publication changes if its base is the revision in force.
 func model() porcupine.Model {
 	return porcupine.Model{
@@ -177,10 +176,10 @@
 	}
 }
 
-// Three shifts publish and read at once while the log loses replies. What each
-// was told must be explained by one order of all their changes: a false
-// "accepted", a change that came in force twice, or a step back has none.
-func TestShiftsThatRaceSeeOneOrder(t *testing.T) {
+// Three operators publish and read concurrently while the log loses replies. Their histories
+// must be linearizable, which a false "accepted", a change that is applied twice or a
+// return to an older configuration is not.
+func TestConcurrentPublishersAreLinearizable(t *testing.T) {
 	i := is.New(t)
 	p, x := newPublisher(t, time.Hour)
 	_, err := x.Publish(t.Context(), publisher.Request{Document: document(1)})
@@ -194,7 +193,7 @@
 	)
 
 	begin := time.Now()
-	note := func(client int, q input, call time.Duration, o output) {
+	record := func(client int, q input, call time.Duration, o output) {
 		m.Lock()
 		defer m.Unlock()
 
@@ -215,9 +214,9 @@
 					return
 				}
 
-				note(client, input{}, c, output{revision: s.Revision, weight: weight(s)})
+				record(client, input{}, c, output{revision: s.Revision, weight: weight(s)})
 
-				// No two are alike: one that is in force already changes nothing.
+				// The weights are all different, since a document in force is not published again.
 				q := input{publish: true, base: s.Revision, weight: 2 + 100*client + n}
 				c = time.Since(begin)
 
@@ -228,14 +227,14 @@
 					return
 				}
 
-				note(client, q, c, output{accepted: v.Outcome == publisher.Accepted, revision: v.Revision})
+				record(client, q, c, output{accepted: v.Outcome == publisher.Accepted, revision: v.Revision})
 			}
 		})
 	}
 
 	g.Wait()
 
-	// The first publication is the state that the history begins with.
+	// The first publication precedes the concurrent operations.
 	ops = append(ops, porcupine.Operation{
 		ClientId: 3, Input: input{publish: true, weight: 1}, Call: -2,
 		Output: output{accepted: true, revision: 1}, Return: -1,
