--- a/internal/aggregator/aggregator.go
+++ b/internal/aggregator/aggregator.go
@@ -172,7 +172,7 @@
 	return x
 }
 
-// expire ends the reservations of calls past their deadline. An instance that was killed or cut off
+// expire ends the reservations of calls past their deadline. An instance that was killed or partitioned
 // never sends its releases; otherwise its calls would count for ever, until no call was granted a slot
 // at an idle target.
 func (x *count) expire(now time.Time) {
--- a/internal/aggregator/health.go
+++ b/internal/aggregator/health.go
@@ -13,7 +13,7 @@
 
 // Results of a call. Their values are used on the wire.
 const (
-	// NoResult means that the call says nothing about the target, for example because the caller
+	// NoResult means that the call is no evidence on the target, for example because the caller
 	// disconnected. It is the zero value.
 	NoResult Result = iota
 	// Answered means that the target answered.
--- a/internal/aggregator/report.go
+++ b/internal/aggregator/report.go
@@ -16,9 +16,9 @@
 
 // Estimate estimates the current number of calls of all instances at the target: the reported calls, adjusted
 // by the change in the holder's own count since the report.
-func (w LoadReport) Estimate(now time.Time, counted int) int {
-	if now.Sub(w.At) < reportTimeout {
-		return max(w.Calls+counted-w.Base, counted)
+func (r LoadReport) Estimate(now time.Time, counted int) int {
+	if now.Sub(r.At) < reportTimeout {
+		return max(r.Calls+counted-r.Base, counted)
 	}
 
 	return counted
--- a/internal/commander/gateway.go
+++ b/internal/commander/gateway.go
@@ -125,7 +125,7 @@
 		{"callers", a.Callers == b.Callers},
 		{"ready", a.Ready == b.Ready},
 		{"peers", a.Peers == b.Peers},
-		{"mostLoad", a.MostLoad == b.MostLoad},
+		{"mostLoad", a.MaxFactor == b.MaxFactor},
 		{"within", a.ApplyWithin == b.ApplyWithin},
 		{"link", a.LinkRate == b.LinkRate},
 	} {
@@ -140,7 +140,7 @@
 func gatewaySettings(s platform.Settings) gatekeeper.Settings {
 	return gatekeeper.Settings{
 		Name: s.Name, DataCentre: s.DataCentre, Callers: s.Callers, Ready: s.Ready, Peers: s.Peers, Region: s.Region,
-		Regions: s.Regions, MostLoad: s.MostLoad, ApplyWithin: s.ApplyWithin, LinkRate: s.LinkRate,
+		Regions: s.Regions, MaxFactor: s.MaxFactor, ApplyWithin: s.ApplyWithin, LinkRate: s.LinkRate,
 		Tunables: gatekeeper.Tunables{
 			Seeds: s.Seeds, StopTimeout: s.StopTimeout,
 			Retries: budgeter.Settings{Ratio: s.RetryRatio, Window: s.RetryWindow, Slack: s.RetrySlack},
--- a/internal/discoverer/bench_test.go
+++ b/internal/discoverer/bench_test.go
@@ -11,16 +11,16 @@
 func BenchmarkRegistry(b *testing.B) {
 	for name, n := range map[string]int{"60": 60, "3000": 3000} {
 		b.Run(name, func(b *testing.B) {
-			e := discoverer.New(discoverer.DefaultSettings())
+			d := discoverer.New(discoverer.DefaultSettings())
 			for i := range n {
-				e.Set(discoverer.Target{ID: fmt.Sprintf("t%d", i), Group: fmt.Sprintf("g%d", i%20)})
+				d.Set(discoverer.Target{ID: fmt.Sprintf("t%d", i), Group: fmt.Sprintf("g%d", i%20)})
 			}
 
 			b.ReportAllocs()
 
 			for b.Loop() {
-				e.Set(discoverer.Target{ID: "t0", Group: "g0"})
-				e.Registry()
+				d.Set(discoverer.Target{ID: "t0", Group: "g0"})
+				d.Registry()
 			}
 		})
 	}
--- a/internal/discoverer/discoverer.go
+++ b/internal/discoverer/discoverer.go
@@ -19,7 +19,7 @@
 
 // DefaultSettings returns the settings of a gateway. Live targets are on the list again within about
 // two seconds after an outage. A longer grace would retain failed targets beyond the two seconds
-// within which their departure must take effect.
+// within which their removal must take effect.
 func DefaultSettings() Settings {
 	return Settings{Grace: 2 * time.Second, MinOutage: 3 * time.Second}
 }
@@ -54,17 +54,17 @@
 // Registry returns the registry of the current entries. It is rebuilt if entries have changed since the
 // last call, that is, once per batch of changes, since this takes a millisecond with thousands of
 // targets.
-func (e *Discoverer) Registry() *Registry {
-	if e.stale {
-		e.registry, e.stale = e.build(), false
+func (d *Discoverer) Registry() *Registry {
+	if d.stale {
+		d.registry, d.stale = d.build(), false
 	}
 
-	return e.registry
+	return d.registry
 }
 
 // Lookup returns a target's entry, and false when there is none.
-func (e *Discoverer) Lookup(id string) (*Target, bool) {
-	x, ok := e.entries[id]
+func (d *Discoverer) Lookup(id string) (*Target, bool) {
+	x, ok := d.entries[id]
 	if !ok {
 		return nil, false
 	}
@@ -73,25 +73,25 @@
 }
 
 // RecordOutage records that the list is available again after an outage of the given length.
-func (e *Discoverer) RecordOutage(now time.Time, away time.Duration) {
-	if away >= e.settings.MinOutage {
-		e.restored = now
+func (d *Discoverer) RecordOutage(now time.Time, away time.Duration) {
+	if away >= d.settings.MinOutage {
+		d.restored = now
 	}
 }
 
 // Set adds a target or replaces its entry. It must be called in the order of the list's records: the
 // last record of an ID names the process that runs, even if the start of that process is earlier than
 // that of the previous one; see Process.
-func (e *Discoverer) Set(t Target) {
-	e.enter(t)
-	e.stale = true
+func (d *Discoverer) Set(t Target) {
+	d.enter(t)
+	d.stale = true
 }
 
 // enter adds or replaces an entry and marks it as leaving if its process has announced that.
-func (e *Discoverer) enter(t Target) {
+func (d *Discoverer) enter(t Target) {
 	x := t.enter()
-	_, x.Leaving = e.leaving[x.key]
-	e.entries[t.ID] = &entry{target: x}
+	_, x.Leaving = d.leaving[x.key]
+	d.entries[t.ID] = &entry{target: x}
 }
 
 // leavingRetention is how long the announcement of a leaving process is retained after it was last on the
@@ -102,35 +102,35 @@
 // MarkLeaving marks a process as leaving, as it announced itself, and reports whether that was unknown. The
 // process accepts no new calls from then on, whatever its entry states: the entry is older or waits
 // for the platform.
-func (e *Discoverer) MarkLeaving(now time.Time, p Process) bool {
+func (d *Discoverer) MarkLeaving(now time.Time, p Process) bool {
 	k := p.Key()
-	if _, ok := e.leaving[k]; ok {
+	if _, ok := d.leaving[k]; ok {
 		return false
 	}
 
-	e.leaving[k] = now
+	d.leaving[k] = now
 
-	if x, ok := e.entries[p.ID]; ok && x.target.key == k {
+	if x, ok := d.entries[p.ID]; ok && x.target.key == k {
 		t := *x.target
 		t.Leaving = true
 		x.target = &t
-		e.stale = true
+		d.stale = true
 	}
 
 	return true
 }
 
 // expireLeaving drops the announcements of processes that have not been on the list for leavingRetention.
-func (e *Discoverer) expireLeaving(now time.Time) {
-	for _, x := range e.entries {
+func (d *Discoverer) expireLeaving(now time.Time) {
+	for _, x := range d.entries {
 		if x.target.Leaving {
-			e.leaving[x.target.key] = now
+			d.leaving[x.target.key] = now
 		}
 	}
 
-	for k, at := range e.leaving {
+	for k, at := range d.leaving {
 		if now.Sub(at) >= leavingRetention {
-			delete(e.leaving, k)
+			delete(d.leaving, k)
 		}
 	}
 }
@@ -141,76 +141,76 @@
 // Entries of live targets also expire during an outage of the list. Their removals arrive all at once
 // after it, and dropping them would leave all calls without a target. Live targets register again
 // before the grace ends.
-func (e *Discoverer) Remove(now time.Time, id string) bool {
-	x, ok := e.entries[id]
+func (d *Discoverer) Remove(now time.Time, id string) bool {
+	x, ok := d.entries[id]
 	if !ok {
 		return false
 	}
 
-	if now.Before(e.restored.Add(e.settings.Grace)) && !x.target.IsLeaving() {
+	if now.Before(d.restored.Add(d.settings.Grace)) && !x.target.IsLeaving() {
 		x.held = true
 
 		return false
 	}
 
-	delete(e.entries, id)
-	e.stale = true
+	delete(d.entries, id)
+	d.stale = true
 
 	return true
 }
 
 // Drop drops a target's entry at once, also during the grace. It is for entries that were overwritten,
 // which did not expire in an outage.
-func (e *Discoverer) Drop(id string) {
-	if _, ok := e.entries[id]; !ok {
+func (d *Discoverer) Drop(id string) {
+	if _, ok := d.entries[id]; !ok {
 		return
 	}
 
-	delete(e.entries, id)
+	delete(d.entries, id)
 
-	e.stale = true
+	d.stale = true
 }
 
 // Reset applies the complete list. Entries that are not on it are removed as by Remove.
-func (e *Discoverer) Reset(now time.Time, l []Target) {
+func (d *Discoverer) Reset(now time.Time, l []Target) {
 	k := make(map[string]bool, len(l))
 
 	for _, t := range l {
 		k[t.ID] = true
-		e.enter(t)
+		d.enter(t)
 	}
 
-	for id := range e.entries {
+	for id := range d.entries {
 		if !k[id] {
-			e.Remove(now, id)
+			d.Remove(now, id)
 		}
 	}
 
-	e.stale = true
+	d.stale = true
 }
 
 // ExpireHeld drops the held entries once the grace has ended, and returns their IDs in order. It must be
 // called periodically.
-func (e *Discoverer) ExpireHeld(now time.Time) []string {
-	if len(e.leaving) > 0 {
-		e.expireLeaving(now)
+func (d *Discoverer) ExpireHeld(now time.Time) []string {
+	if len(d.leaving) > 0 {
+		d.expireLeaving(now)
 	}
 
-	if now.Before(e.restored.Add(e.settings.Grace)) {
+	if now.Before(d.restored.Add(d.settings.Grace)) {
 		return nil
 	}
 
 	var o []string
 
-	for id, x := range e.entries {
+	for id, x := range d.entries {
 		if x.held {
-			delete(e.entries, id)
+			delete(d.entries, id)
 			o = append(o, id)
 		}
 	}
 
 	if len(o) > 0 {
-		e.stale = true
+		d.stale = true
 
 		sort.Strings(o)
 	}
@@ -219,9 +219,9 @@
 }
 
 // build builds the registry of the current entries.
-func (e *Discoverer) build() *Registry {
-	l := make([]*Target, 0, len(e.entries))
-	for _, x := range e.entries {
+func (d *Discoverer) build() *Registry {
+	l := make([]*Target, 0, len(d.entries))
+	for _, x := range d.entries {
 		l = append(l, x.target)
 	}
 
--- a/internal/discoverer/discoverer_test.go
+++ b/internal/discoverer/discoverer_test.go
@@ -18,9 +18,9 @@
 	return o
 }
 
-func names(e *discoverer.Discoverer) []string {
+func names(d *discoverer.Discoverer) []string {
 	o := []string{}
-	for _, t := range e.Registry().Groups["g"] {
+	for _, t := range d.Registry().Groups["g"] {
 		o = append(o, t.ID)
 	}
 
@@ -31,32 +31,32 @@
 	b := time.Unix(1000, 0)
 
 	for name, x := range map[string]struct {
-		change func(e *discoverer.Discoverer)
+		change func(d *discoverer.Discoverer)
 		want   []string
 	}{
 		"draining": {
-			func(e *discoverer.Discoverer) { e.Set(discoverer.Target{ID: "a", Group: "g", Draining: true}) },
+			func(d *discoverer.Discoverer) { d.Set(discoverer.Target{ID: "a", Group: "g", Draining: true}) },
 			[]string{"b"},
 		},
 		"removed without draining": {
-			func(e *discoverer.Discoverer) { e.Remove(b, "a") },
+			func(d *discoverer.Discoverer) { d.Remove(b, "a") },
 			[]string{"b"},
 		},
 		"missing from the complete list": {
-			func(e *discoverer.Discoverer) { e.Reset(b, listed("b", "c")) },
+			func(d *discoverer.Discoverer) { d.Reset(b, listed("b", "c")) },
 			[]string{"b", "c"},
 		},
 		"removed twice": {
-			func(e *discoverer.Discoverer) { e.Remove(b, "a"); e.Remove(b, "a") },
+			func(d *discoverer.Discoverer) { d.Remove(b, "a"); d.Remove(b, "a") },
 			[]string{"b"},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			e := discoverer.New(discoverer.DefaultSettings())
-			e.Reset(b, listed("a", "b"))
-			x.change(e)
-			is.Equal(names(e), x.want)
+			d := discoverer.New(discoverer.DefaultSettings())
+			d.Reset(b, listed("a", "b"))
+			x.change(d)
+			is.Equal(names(d), x.want)
 		})
 	}
 }
@@ -67,40 +67,40 @@
 func TestEntriesExpiredDuringAnOutageAreHeld(t *testing.T) {
 	is := is.New(t)
 	b := time.Unix(1000, 0)
-	e := discoverer.New(discoverer.DefaultSettings())
-	e.Reset(b, listed("a", "b"))
-
-	e.RecordOutage(b, 5*time.Second)
-	is.True(!e.Remove(b.Add(10*time.Millisecond), "a"))
-	is.True(!e.Remove(b.Add(10*time.Millisecond), "b"))
-	is.Equal(names(e), []string{"a", "b"})
-
-	e.Set(discoverer.Target{ID: "a", Group: "g"})
-	is.Equal(len(e.ExpireHeld(b.Add(1900*time.Millisecond))), 0)
-	is.Equal(e.ExpireHeld(b.Add(2*time.Second)), []string{"b"})
-	is.Equal(names(e), []string{"a"})
+	d := discoverer.New(discoverer.DefaultSettings())
+	d.Reset(b, listed("a", "b"))
+
+	d.RecordOutage(b, 5*time.Second)
+	is.True(!d.Remove(b.Add(10*time.Millisecond), "a"))
+	is.True(!d.Remove(b.Add(10*time.Millisecond), "b"))
+	is.Equal(names(d), []string{"a", "b"})
+
+	d.Set(discoverer.Target{ID: "a", Group: "g"})
+	is.Equal(len(d.ExpireHeld(b.Add(1900*time.Millisecond))), 0)
+	is.Equal(d.ExpireHeld(b.Add(2*time.Second)), []string{"b"})
+	is.Equal(names(d), []string{"a"})
 }
 
-// Guards against calls to a target in the two seconds after it left: the instance missed a few reads,
+// Guards against calls to a target in the two seconds after it was removed: the instance missed a few reads,
 // and must not treat the removal as one due to an outage and hold the entry for the grace.
 func TestEntriesAreNotHeldAfterAShortOutage(t *testing.T) {
 	is := is.New(t)
 	b := time.Unix(1000, 0)
-	e := discoverer.New(discoverer.DefaultSettings())
-	e.Reset(b, listed("a", "b"))
+	d := discoverer.New(discoverer.DefaultSettings())
+	d.Reset(b, listed("a", "b"))
 
-	e.RecordOutage(b, 700*time.Millisecond)
-	is.True(e.Remove(b.Add(10*time.Millisecond), "a"))
-	is.Equal(names(e), []string{"b"})
+	d.RecordOutage(b, 700*time.Millisecond)
+	is.True(d.Remove(b.Add(10*time.Millisecond), "a"))
+	is.Equal(names(d), []string{"b"})
 }
 
 func TestRegistryKnowsDrainingTargets(t *testing.T) {
 	is := is.New(t)
-	e := discoverer.New(discoverer.DefaultSettings())
-	e.Set(discoverer.Target{ID: "a", Group: "g", Draining: true})
+	d := discoverer.New(discoverer.DefaultSettings())
+	d.Set(discoverer.Target{ID: "a", Group: "g", Draining: true})
 
-	_, ok := e.Registry().Known["a"]
+	_, ok := d.Registry().Known["a"]
 	is.True(ok)
-	is.Equal(len(e.Registry().Names), 1)
-	is.Equal(len(e.Registry().Groups), 0)
+	is.Equal(len(d.Registry().Names), 1)
+	is.Equal(len(d.Registry().Groups), 0)
 }
--- a/internal/discoverer/evacuation_test.go
+++ b/internal/discoverer/evacuation_test.go
@@ -13,16 +13,16 @@
 // whose cached prompts can still be fetched.
 func TestEvacuatedTargetsAreKnownAndClosed(t *testing.T) {
 	i := is.New(t)
-	e := discoverer.New(discoverer.DefaultSettings())
+	d := discoverer.New(discoverer.DefaultSettings())
 
 	for id, c := range map[string]string{"t1": "a", "t2": "b", "t3": "b"} {
-		e.Set(discoverer.Target{ID: id, Group: "g", DataCentre: c})
+		d.Set(discoverer.Target{ID: id, Group: "g", DataCentre: c})
 	}
 
-	e.Set(discoverer.Target{ID: "t4", Group: "h", DataCentre: "b"})
-	e.Set(discoverer.Target{ID: "t5", Group: "g", DataCentre: "a", Draining: true})
+	d.Set(discoverer.Target{ID: "t4", Group: "h", DataCentre: "b"})
+	d.Set(discoverer.Target{ID: "t5", Group: "g", DataCentre: "a", Draining: true})
 
-	all := e.Registry()
+	all := d.Registry()
 	r := all.WithEvacuated(func(c string) bool { return c == "b" }, nil)
 
 	i.Equal(len(r.Groups["g"]), 1)
@@ -39,24 +39,24 @@
 	i.True(all.AcceptsCalls(all.Known["t2"]))
 }
 
-// Guards against a call that is sent to a selected target which has moved, left or restarted since.
+// Guards against a call that is sent to a selected target which has moved, been removed or restarted since.
 func TestChangedTargetAcceptsNoCalls(t *testing.T) {
-	for name, change := range map[string]func(e *discoverer.Discoverer){
-		"left":        func(e *discoverer.Discoverer) { e.Drop("t") },
-		"drains":      func(e *discoverer.Discoverer) { e.Set(discoverer.Target{ID: "t", Group: "g", Draining: true}) },
-		"restarted":   func(e *discoverer.Discoverer) { e.Set(discoverer.Target{ID: "t", Group: "g", Start: time.Unix(9, 0)}) },
-		"other group": func(e *discoverer.Discoverer) { e.Set(discoverer.Target{ID: "t", Group: "h"}) },
+	for name, change := range map[string]func(d *discoverer.Discoverer){
+		"removed":     func(d *discoverer.Discoverer) { d.Drop("t") },
+		"drains":      func(d *discoverer.Discoverer) { d.Set(discoverer.Target{ID: "t", Group: "g", Draining: true}) },
+		"restarted":   func(d *discoverer.Discoverer) { d.Set(discoverer.Target{ID: "t", Group: "g", Start: time.Unix(9, 0)}) },
+		"other group": func(d *discoverer.Discoverer) { d.Set(discoverer.Target{ID: "t", Group: "h"}) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
-			e := discoverer.New(discoverer.DefaultSettings())
-			e.Set(discoverer.Target{ID: "t", Group: "g"})
+			d := discoverer.New(discoverer.DefaultSettings())
+			d.Set(discoverer.Target{ID: "t", Group: "g"})
 
-			x := e.Registry().Known["t"]
-			i.True(e.Registry().AcceptsCalls(x))
+			x := d.Registry().Known["t"]
+			i.True(d.Registry().AcceptsCalls(x))
 
-			change(e)
-			i.True(!e.Registry().AcceptsCalls(x))
+			change(d)
+			i.True(!d.Registry().AcceptsCalls(x))
 		})
 	}
 }
--- a/internal/discoverer/process.go
+++ b/internal/discoverer/process.go
@@ -12,7 +12,7 @@
 // another start.
 //
 // Starts don't order the processes of an ID. They are by the target's clock, and after a step back
-// of that clock the newer process would count as gone for as long as the step was. Instead, the
+// of that clock the newer process would count as replaced for as long as the step was. Instead, the
 // record of the ID with the highest offset on the list names the process that runs, whatever its
 // start. The reader of the list tracks the offsets.
 type Process struct {
--- a/internal/discoverer/process_test.go
+++ b/internal/discoverer/process_test.go
@@ -48,53 +48,53 @@
 	}
 
 	for name, x := range map[string]struct {
-		change func(e *discoverer.Discoverer)
+		change func(d *discoverer.Discoverer)
 		// same is set when the process is the previous one, and moved when its address or group changed.
 		same, moved bool
 	}{
-		"entry repeated": {func(e *discoverer.Discoverer) { e.Set(entry(0)) }, true, false},
-		"draining": {func(e *discoverer.Discoverer) {
+		"entry repeated": {func(d *discoverer.Discoverer) { d.Set(entry(0)) }, true, false},
+		"draining": {func(d *discoverer.Discoverer) {
 			y := entry(0)
 			y.Draining = true
-			e.Set(y)
+			d.Set(y)
 		}, true, false},
-		"later start":   {func(e *discoverer.Discoverer) { e.Set(entry(time.Hour)) }, false, false},
-		"earlier start": {func(e *discoverer.Discoverer) { e.Set(entry(-time.Hour)) }, false, false},
-		"no start":      {func(e *discoverer.Discoverer) { y := entry(0); y.Start = time.Time{}; e.Set(y) }, false, false},
-		"complete list": {func(e *discoverer.Discoverer) { e.Reset(b, []discoverer.Target{entry(time.Hour)}) }, false, false},
-		"held, same start": {func(e *discoverer.Discoverer) {
-			e.RecordOutage(b, time.Minute)
-			e.Remove(b, "a")
-			e.Set(entry(0))
-			e.ExpireHeld(b.Add(time.Minute))
+		"later start":   {func(d *discoverer.Discoverer) { d.Set(entry(time.Hour)) }, false, false},
+		"earlier start": {func(d *discoverer.Discoverer) { d.Set(entry(-time.Hour)) }, false, false},
+		"no start":      {func(d *discoverer.Discoverer) { y := entry(0); y.Start = time.Time{}; d.Set(y) }, false, false},
+		"complete list": {func(d *discoverer.Discoverer) { d.Reset(b, []discoverer.Target{entry(time.Hour)}) }, false, false},
+		"held, same start": {func(d *discoverer.Discoverer) {
+			d.RecordOutage(b, time.Minute)
+			d.Remove(b, "a")
+			d.Set(entry(0))
+			d.ExpireHeld(b.Add(time.Minute))
 		}, true, false},
-		"held, earlier start": {func(e *discoverer.Discoverer) {
-			e.RecordOutage(b, time.Minute)
-			e.Remove(b, "a")
-			e.Set(entry(-time.Hour))
-			e.ExpireHeld(b.Add(time.Minute))
+		"held, earlier start": {func(d *discoverer.Discoverer) {
+			d.RecordOutage(b, time.Minute)
+			d.Remove(b, "a")
+			d.Set(entry(-time.Hour))
+			d.ExpireHeld(b.Add(time.Minute))
 		}, false, false},
-		"other address": {func(e *discoverer.Discoverer) {
+		"other address": {func(d *discoverer.Discoverer) {
 			y := entry(0)
 			y.Address = netip.MustParseAddrPort("10.0.0.2:80")
-			e.Set(y)
+			d.Set(y)
 		}, true, true},
-		"other group and start": {func(e *discoverer.Discoverer) {
+		"other group and start": {func(d *discoverer.Discoverer) {
 			y := entry(1)
 			y.Group = "h"
 			y.Start = b.Add(time.Second)
-			e.Set(y)
+			d.Set(y)
 		}, false, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			e := discoverer.New(discoverer.DefaultSettings())
-			e.Set(entry(0))
-			o := e.Registry().Known["a"]
+			d := discoverer.New(discoverer.DefaultSettings())
+			d.Set(entry(0))
+			o := d.Registry().Known["a"]
 
-			x.change(e)
+			x.change(d)
 
-			r := e.Registry()
+			r := d.Registry()
 			n := r.Known["a"]
 			is.Equal(n.Key() == o.Key(), x.same)
 			is.Equal(n.Moved(o), x.moved)
@@ -110,20 +110,20 @@
 // name: they must not be applied to the one that was entered last.
 func TestSharedNameIsIgnored(t *testing.T) {
 	is := is.New(t)
-	e := discoverer.New(discoverer.DefaultSettings())
+	d := discoverer.New(discoverer.DefaultSettings())
 
 	for _, id := range []string{"t-30705", "t-94990", "other"} {
-		e.Set(discoverer.Target{ID: id, Group: "g"})
+		d.Set(discoverer.Target{ID: id, Group: "g"})
 	}
 
-	r := e.Registry()
+	r := d.Registry()
 	a, b := r.Known["t-30705"], r.Known["t-94990"]
 	is.Equal(a.Key().Name(), b.Key().Name())
 	is.True(a.Key() != b.Key())
 	is.Equal(r.Names, map[discoverer.Name]*discoverer.Target{r.Known["other"].Key().Name(): r.Known["other"]})
 	is.Equal(len(r.Processes), 3)
 
-	// Once one target has left, the name identifies the other.
-	e.Remove(time.Unix(1000, 0), "t-94990")
-	is.Equal(e.Registry().Names[a.Key().Name()], a)
+	// Once one target is removed, the name identifies the other.
+	d.Remove(time.Unix(1000, 0), "t-94990")
+	is.Equal(d.Registry().Names[a.Key().Name()], a)
 }
--- a/internal/evaluator/evaluator_test.go
+++ b/internal/evaluator/evaluator_test.go
@@ -31,17 +31,17 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
-			p := evaluator.New[int]()
+			e := evaluator.New[int]()
 
 			for _, x := range tc.answers {
-				p.RecordAnswer(1, x)
+				e.RecordAnswer(1, x)
 			}
 
 			if tc.reported > 0 {
-				p.SetLatency(1, tc.reported)
+				e.SetLatency(1, tc.reported)
 			}
 
-			i.Equal(p.Slow(1, tc.median), tc.want)
+			i.Equal(e.Slow(1, tc.median), tc.want)
 		})
 	}
 }
@@ -49,31 +49,31 @@
 // Guards against a slow target that gets no probe calls, or more than one per interval.
 func TestProbeCalls(t *testing.T) {
 	i := is.New(t)
-	p := evaluator.New[int]()
+	e := evaluator.New[int]()
 	now := time.Unix(0, 0)
 
-	p.RecordCall(now, 1)
-	i.True(!p.ProbedRecently(now, 1)) // The target has no recorded latency.
+	e.RecordCall(now, 1)
+	i.True(!e.ProbedRecently(now, 1)) // The target has no recorded latency.
 
-	p.SetLatency(1, 1)
-	p.RecordCall(now, 1)
-	p.RecordCall(now.Add(900*time.Millisecond), 1)
-	i.True(p.ProbedRecently(now.Add(999*time.Millisecond), 1))
-	i.True(!p.ProbedRecently(now.Add(time.Second), 1))
+	e.SetLatency(1, 1)
+	e.RecordCall(now, 1)
+	e.RecordCall(now.Add(900*time.Millisecond), 1)
+	i.True(e.ProbedRecently(now.Add(999*time.Millisecond), 1))
+	i.True(!e.ProbedRecently(now.Add(time.Second), 1))
 
-	p.Forget(1)
-	i.Equal(p.Latency(1), 0.0)
+	e.Forget(1)
+	i.Equal(e.Latency(1), 0.0)
 }
 
 // Guards against a median that includes unknown latencies or depends on outliers.
 func TestMedianLatency(t *testing.T) {
 	i := is.New(t)
-	p := evaluator.New[int]()
-	i.Equal(p.MedianLatency([]int{1, 2, 3}), 0.0)
+	e := evaluator.New[int]()
+	i.Equal(e.MedianLatency([]int{1, 2, 3}), 0.0)
 
-	p.SetLatency(1, 0.1)
-	p.SetLatency(2, 0.3)
-	p.SetLatency(3, 5)
-	p.RecordAnswer(4, 9)
-	i.Equal(p.MedianLatency([]int{1, 2, 3, 4, 5}), 0.3)
+	e.SetLatency(1, 0.1)
+	e.SetLatency(2, 0.3)
+	e.SetLatency(3, 5)
+	e.RecordAnswer(4, 9)
+	i.Equal(e.MedianLatency([]int{1, 2, 3, 4, 5}), 0.3)
 }
--- a/internal/filterer/filterer_test.go
+++ b/internal/filterer/filterer_test.go
@@ -97,11 +97,11 @@
 	w.outcomes = append(w.outcomes, o)
 }
 
-func (w *fakeDeps) Stalled(time.Time) bool                           { return w.stalled }
-func (w *fakeDeps) Report(requester.Reservation, int, tracker.State) {}
-func (w *fakeDeps) BackOff(requester.Reservation, time.Duration)     {}
-func (w *fakeDeps) Cancel(*exchanger.Exchange)                       {}
-func (w *fakeDeps) respond(b string, h http.Header) *http.Response   { return response(200, b, h) }
+func (w *fakeDeps) Stalled(time.Time) bool                            { return w.stalled }
+func (w *fakeDeps) Report(requester.Reservation, int, tracker.State)  {}
+func (w *fakeDeps) StartBackoff(requester.Reservation, time.Duration) {}
+func (w *fakeDeps) Cancel(*exchanger.Exchange)                        {}
+func (w *fakeDeps) respond(b string, h http.Header) *http.Response    { return response(200, b, h) }
 
 func (w *fakeDeps) Send(context.Context, *exchanger.Exchange) (*http.Response, error) {
 	w.sent++
--- a/internal/filterer/pick.go
+++ b/internal/filterer/pick.go
@@ -22,7 +22,7 @@
 	Reserve(c context.Context, r requester.Request) (requester.Reservation, error)
 	Release(p requester.Reservation, o granter.Outcome)
 	Report(p requester.Reservation, requests int, s tracker.State)
-	BackOff(p requester.Reservation, d time.Duration)
+	StartBackoff(p requester.Reservation, d time.Duration)
 }
 
 // Pick reserves a slot at a target.
--- a/internal/filterer/send.go
+++ b/internal/filterer/send.go
@@ -68,7 +68,7 @@
 	s.Slots.Report(x.Reservation, h.Requests, h.State)
 
 	if h.Backoff > 0 && r.StatusCode == http.StatusServiceUnavailable {
-		s.Slots.BackOff(x.Reservation, h.Backoff)
+		s.Slots.StartBackoff(x.Reservation, h.Backoff)
 	}
 
 	return s.status(x, r)
--- a/internal/forwarder/attempt.go
+++ b/internal/forwarder/attempt.go
@@ -316,7 +316,7 @@
 	}
 
 	x.reservation.pace = float64(n.Sub(x.attemptStart)) / float64(x.rule.Latency)
-	f.chooser.ObservePace(n, t.Target, x.reservation.pace)
+	f.chooser.ObserveLatency(n, t.Target, x.reservation.pace)
 }
 
 // hopByHopHeaders concern a single connection only and are not forwarded.
--- a/internal/forwarder/connectivity.go
+++ b/internal/forwarder/connectivity.go
@@ -41,7 +41,7 @@
 // other instances meanwhile, no call would show this. It is to be called periodically.
 func (f *Forwarder) CheckConnectivity(c context.Context) {
 	f.mu.Lock()
-	l := f.chooser.CutOff(f.state.Registry())
+	l := f.chooser.PartitionProbes(f.state.Registry())
 	f.mu.Unlock()
 
 	f.recordCutOff(len(l))
--- a/internal/forwarder/reply.go
+++ b/internal/forwarder/reply.go
@@ -31,7 +31,7 @@
 	case p.Backoff > 0:
 		f.chooser.StartBackoff(n, t, p.Backoff)
 	case !p.NotRun:
-		f.chooser.Answered(n, t)
+		f.chooser.RecordAnswer(n, t)
 	}
 }
 
--- a/internal/forwarder/reservation.go
+++ b/internal/forwarder/reservation.go
@@ -133,13 +133,13 @@
 	}
 
 	x.reservation.verdict, x.reservation.release = f.reserver.Reserve(c, t.Target, aggregator.Request{
-		MaxCalls: s.MaxCalls(t.Bound), Deadline: x.deadline, MedianLatency: t.MedianPace, AllowExcluded: s.AllowExcluded(),
+		MaxCalls: s.MaxCalls(t.Bound), Deadline: x.deadline, MedianLatency: t.MedianLatency, AllowExcluded: s.AllowExcluded(),
 	})
 	f.meter.Reservation(x.group, x.reservation.verdict.Outcome.String())
 
 	if p := x.reservation.verdict.Latency; p > 0 {
 		f.mu.Lock()
-		f.chooser.ReportPace(t.Target, p)
+		f.chooser.ReportLatency(t.Target, p)
 		f.mu.Unlock()
 	}
 }
--- a/internal/gatekeeper/config_handler.go
+++ b/internal/gatekeeper/config_handler.go
@@ -22,43 +22,43 @@
 
 var _ watcher.Handler = (*configHandler)(nil)
 
-// Reset implements watcher.Sink. Older configurations are recognized by their version.
-func (s *configHandler) Reset(l []watcher.Record, _ int64) error {
+// Reset implements watcher.Handler. Older configurations are recognized by their version.
+func (h *configHandler) Reset(l []watcher.Record, _ int64) error {
 	for _, r := range l {
-		s.Change(r)
+		h.Change(r)
 	}
 
 	return nil
 }
 
-// Change implements watcher.Sink. An invalid configuration is skipped; the one in force remains.
-func (s *configHandler) Change(r watcher.Record) {
-	if r.Key != s.key || len(r.Value) == 0 {
+// Change implements watcher.Handler. An invalid configuration is skipped; the one in force remains.
+func (h *configHandler) Change(r watcher.Record) {
+	if r.Key != h.key || len(r.Value) == 0 {
 		return
 	}
 
-	d, err := s.decode(r.Value)
+	d, err := h.decode(r.Value)
 	if err == nil {
 		var c *cataloger.Catalog
 
 		if c, err = cataloger.New(d); err == nil {
-			s.state.applyCatalog(c, r)
+			h.state.applyCatalog(c, r)
 
 			return
 		}
 	}
 
 	// The newest record of the key is contained in each full list.
-	if r.Offset < s.afterRefused {
+	if r.Offset < h.afterRefused {
 		return
 	}
 
-	s.afterRefused = r.Offset + 1
-	s.refusals.report(err, logrus.Fields{"event": "catalogRefused", "version": d.Version, "offset": r.Offset})
+	h.afterRefused = r.Offset + 1
+	h.refusals.report(err, logrus.Fields{"event": "catalogRefused", "version": d.Version, "offset": r.Offset})
 }
 
-// Read implements watcher.Sink.
-func (s *configHandler) Read(time.Duration) { s.refusals.flush() }
+// Read implements watcher.Handler.
+func (h *configHandler) Read(time.Duration) { h.refusals.flush() }
 
-// Failed implements watcher.Sink.
-func (s *configHandler) Failed(error) {}
+// Failed implements watcher.Handler.
+func (h *configHandler) Failed(error) {}
--- a/internal/gatekeeper/config_handler_test.go
+++ b/internal/gatekeeper/config_handler_test.go
@@ -31,7 +31,7 @@
 			i := is.New(t)
 			h := collector.New(t)
 			f, c := newState(), counts{}
-			f.onRosterChange = func(*discoverer.Registry) {}
+			f.onRegistryChange = func(*discoverer.Registry) {}
 			s := &configHandler{state: f, key: "config", refusals: &refusalReporter{stream: "config", counter: c}, decode: func(b []byte) (cataloger.Document, error) {
 				if string(b) == `"wrong"` {
 					return cataloger.Document{Version: 9}, &watcher.RecordError{Fault: watcher.WrongType, Field: "routes"}
--- a/internal/gatekeeper/evacuation_handler.go
+++ b/internal/gatekeeper/evacuation_handler.go
@@ -22,61 +22,61 @@
 
 var _ watcher.Handler = (*evacuationHandler)(nil)
 
-// Reset implements watcher.Sink. It fails with errStaleList: an older list would end evacuations
+// Reset implements watcher.Handler. It fails with errStaleList: an older list would end evacuations
 // that are still in force.
-func (s *evacuationHandler) Reset(l []watcher.Record, end int64) error {
+func (h *evacuationHandler) Reset(l []watcher.Record, end int64) error {
 	var o []watcher.Record
 
 	for _, r := range l {
-		if _, ok, _ := s.decode(r.Key, r.Value); ok {
+		if _, ok, _ := h.decode(r.Key, r.Value); ok {
 			o = append(o, r)
 		}
 	}
 
 	n := newestOffsets(o)
-	if err := s.records.checkNotStale(n, end); err != nil {
+	if err := h.records.checkNotStale(n, end); err != nil {
 		return err
 	}
 
-	for k, m := range s.records.keys {
+	for k, m := range h.records.keys {
 		if _, ok := n[k]; !ok && m.outcome != deleted {
-			s.remove(watcher.Record{Key: k, Offset: m.offset})
+			h.remove(watcher.Record{Key: k, Offset: m.offset})
 		}
 	}
 
 	for _, r := range o {
-		s.Change(r)
+		h.Change(r)
 	}
 
 	return nil
 }
 
-// Change implements watcher.Sink. A record whose value can't be decoded still starts an
+// Change implements watcher.Handler. A record whose value can't be decoded still starts an
 // evacuation: its key names the data centre, and calls sent there can't be recalled.
-func (s *evacuationHandler) Change(r watcher.Record) {
-	c, ok, err := s.decode(r.Key, r.Value)
-	if !ok || s.records.contains(r) {
+func (h *evacuationHandler) Change(r watcher.Record) {
+	c, ok, err := h.decode(r.Key, r.Value)
+	if !ok || h.records.contains(r) {
 		return
 	}
 
 	if len(r.Value) == 0 {
-		s.remove(r)
+		h.remove(r)
 
 		return
 	}
 
 	if err != nil {
-		s.refusals.report(err, logrus.Fields{"event": "evacuationUnclear", "dataCentre": c, "offset": r.Offset})
+		h.refusals.report(err, logrus.Fields{"event": "evacuationUnclear", "dataCentre": c, "offset": r.Offset})
 	}
 
 	if c == "" {
-		s.records.set(r.Key, seenRecord{offset: r.Offset, outcome: refused})
+		h.records.set(r.Key, seenRecord{offset: r.Offset, outcome: refused})
 
 		return
 	}
 
-	s.records.set(r.Key, seenRecord{offset: r.Offset, outcome: applied})
-	s.state.updateEvacuations(func(n time.Time, e *evacuator.Evacuator) {
+	h.records.set(r.Key, seenRecord{offset: r.Offset, outcome: applied})
+	h.state.updateEvacuations(func(n time.Time, e *evacuator.Evacuator) {
 		if e.Begin(n, c) {
 			logrus.WithFields(logrus.Fields{"event": "evacuationBegun", "dataCentre": c, "offset": r.Offset}).Info()
 		}
@@ -84,11 +84,11 @@
 }
 
 // remove ends the evacuation of a deleted record.
-func (s *evacuationHandler) remove(r watcher.Record) {
-	s.records.set(r.Key, seenRecord{offset: r.Offset, outcome: deleted})
+func (h *evacuationHandler) remove(r watcher.Record) {
+	h.records.set(r.Key, seenRecord{offset: r.Offset, outcome: deleted})
 
-	c, _, _ := s.decode(r.Key, nil)
-	s.state.updateEvacuations(func(n time.Time, e *evacuator.Evacuator) {
+	c, _, _ := h.decode(r.Key, nil)
+	h.state.updateEvacuations(func(n time.Time, e *evacuator.Evacuator) {
 		if d, ok := e.End(n, c); ok {
 			logrus.WithFields(logrus.Fields{
 				"event": "evacuationEnded", "dataCentre": c, "stood": d.Round(time.Millisecond), "offset": r.Offset,
@@ -97,8 +97,8 @@
 	})
 }
 
-// Read implements watcher.Sink.
-func (s *evacuationHandler) Read(time.Duration) { s.refusals.flush() }
+// Read implements watcher.Handler.
+func (h *evacuationHandler) Read(time.Duration) { h.refusals.flush() }
 
-// Failed implements watcher.Sink.
-func (s *evacuationHandler) Failed(error) {}
+// Failed implements watcher.Handler.
+func (h *evacuationHandler) Failed(error) {}
--- a/internal/gatekeeper/evacuation_handler_test.go
+++ b/internal/gatekeeper/evacuation_handler_test.go
@@ -43,7 +43,7 @@
 	t.Helper()
 
 	f := newState()
-	f.onRosterChange = func(*discoverer.Registry) {}
+	f.onRegistryChange = func(*discoverer.Registry) {}
 
 	l := []discoverer.Target{{ID: "leaving", Group: "g", DataCentre: names[0], Draining: true}}
 	for _, n := range names {
--- a/internal/gatekeeper/gatekeeper_test.go
+++ b/internal/gatekeeper/gatekeeper_test.go
@@ -335,7 +335,7 @@
 	waiter.Until(t, "a response from a", answered("a"))
 }
 
-// Guards against cut calls in a planned stop: the running call gets its full response, calls that
+// Guards against interrupted calls in a planned stop: the running call gets its full response, calls that
 // the balancer still sends are served, and each response closes its connection.
 func TestPlannedStopCutsNoCall(t *testing.T) {
 	is := is.New(t)
@@ -464,7 +464,7 @@
 	n, _, _ := get(t, s.callers+"/x/")
 	is.Equal(n, http.StatusOK)
 
-	// An unknown rule may be new, so the caller is asked to retry.
+	// An unknown rule may be new, so the caller is requested to retry.
 	n, _, h := get(t, s.callers+"/new/")
 	is.Equal(n, http.StatusServiceUnavailable)
 	is.True(h.Get("Retry-After") != "")
--- a/internal/gatekeeper/handlers.go
+++ b/internal/gatekeeper/handlers.go
@@ -11,9 +11,9 @@
 
 var _ watcher.Handler = handlers(nil)
 
-// Reset implements watcher.Sink. It returns the first error, and skips the handlers after it.
-func (s handlers) Reset(l []watcher.Record, end int64) error {
-	for _, k := range s {
+// Reset implements watcher.Handler. It returns the first error, and skips the handlers after it.
+func (h handlers) Reset(l []watcher.Record, end int64) error {
+	for _, k := range h {
 		if err := k.Reset(l, end); err != nil {
 			return err
 		}
@@ -22,23 +22,23 @@
 	return nil
 }
 
-// Change implements watcher.Sink.
-func (s handlers) Change(r watcher.Record) {
-	for _, k := range s {
+// Change implements watcher.Handler.
+func (h handlers) Change(r watcher.Record) {
+	for _, k := range h {
 		k.Change(r)
 	}
 }
 
-// Read implements watcher.Sink.
-func (s handlers) Read(away time.Duration) {
-	for _, k := range s {
+// Read implements watcher.Handler.
+func (h handlers) Read(away time.Duration) {
+	for _, k := range h {
 		k.Read(away)
 	}
 }
 
-// Failed implements watcher.Sink.
-func (s handlers) Failed(err error) {
-	for _, k := range s {
+// Failed implements watcher.Handler.
+func (h handlers) Failed(err error) {
+	for _, k := range h {
 		k.Failed(err)
 	}
 }
--- a/internal/gatekeeper/options.go
+++ b/internal/gatekeeper/options.go
@@ -32,8 +32,8 @@
 	// maxCalls is the largest number of calls in progress. At about 50 KB each they fit into the
 	// memory of the smallest instances.
 	maxCalls = 4096
-	// defaultPatience is the time limit of calls whose callers give none.
-	defaultPatience = 30 * time.Second
+	// defaultTimeout is the time limit of calls whose callers give none.
+	defaultTimeout = 30 * time.Second
 	// drainNotice is how long a load balancer needs to stop sending calls if it checks readiness
 	// once a second and acts on two equal answers in a row.
 	drainNotice = 2500 * time.Millisecond
@@ -96,14 +96,14 @@
 	l fx.Lifecycle, s Settings, w Environment, f *state, t trace.Tracer, m *meter.Meter, j *joiner.Joiner, h *reserver.Reserver, q *replicator.Replicator,
 ) *forwarder.Forwarder {
 	x, stop := forwarder.New(
-		forwarder.Settings{DataCentre: s.DataCentre, DefaultTimeout: defaultPatience, MaxBody: maxBodyBytes, Regions: s.Regions},
-		w.Dialect, f, t, m, &net.Dialer{}, newChooser(s, j), budgeter.New(s.Retries, time.Now()))
+		forwarder.Settings{DataCentre: s.DataCentre, DefaultTimeout: defaultTimeout, MaxBody: maxBodyBytes, Regions: s.Regions},
+		w.Dialect, f, t, m, &net.Dialer{}, newSelector(s, j), budgeter.New(s.Retries, time.Now()))
 	x.SetReserver(h)
 	x.SetQuarantine(q)
 	q.OnCrashes(x.RecordCrashes)
-	f.onRosterChange = func(r *discoverer.Registry) {
+	f.onRegistryChange = func(r *discoverer.Registry) {
 		x.Prune(r)
-		h.Forget(r)
+		h.Prune(r)
 	}
 
 	l.Append(fx.Hook{OnStop: func(context.Context) error {
@@ -123,10 +123,10 @@
 // targets. It is longer than most network partitions last.
 const shareRetention = time.Hour
 
-func newChooser(s Settings, j *joiner.Joiner) *selector.Selector {
+func newSelector(s Settings, j *joiner.Joiner) *selector.Selector {
 	b := time.Now()
 	p := &peak{count: func() int { return max(len(j.Live()), len(j.Seeds())) }, window: shareRetention}
-	c := selector.New(selector.DefaultSettings().WithMaxFactor(s.MostLoad))
+	c := selector.New(selector.DefaultSettings().WithMaxFactor(s.MaxFactor))
 	c.Throttle(s.Cold, func() throttler.Fleet {
 		o := throttler.Fleet{Self: j.Self().ID, MaxInstances: p.value(), Settled: time.Since(b) >= settledAfter}
 		for _, m := range j.Live() {
@@ -143,19 +143,19 @@
 type dependencies struct {
 	fx.In
 
-	Settings   Settings
-	World      Environment
-	State      *state
-	Forwarder  *forwarder.Forwarder
-	Messenger  *messenger.Messenger
-	Joiner     *joiner.Joiner
-	Repeater   *repeater.Repeater
-	Replicator *replicator.Replicator
-	Meter      *meter.Meter
+	Settings    Settings
+	Environment Environment
+	State       *state
+	Forwarder   *forwarder.Forwarder
+	Messenger   *messenger.Messenger
+	Joiner      *joiner.Joiner
+	Repeater    *repeater.Repeater
+	Replicator  *replicator.Replicator
+	Meter       *meter.Meter
 }
 
 func newGatekeeper(p dependencies) *Gatekeeper {
-	s, w, f, x, m, j, r := p.Settings, p.World, p.State, p.Forwarder, p.Messenger, p.Joiner, p.Repeater
+	s, w, f, x, m, j, r := p.Settings, p.Environment, p.State, p.Forwarder, p.Messenger, p.Joiner, p.Repeater
 
 	const config, targets = "config", "targets"
 
--- a/internal/gatekeeper/run.go
+++ b/internal/gatekeeper/run.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// removeLapsedInterval is the largest delay in detecting the end of a grace period.
-	removeLapsedInterval = 100 * time.Millisecond
+	// expireInterval is the largest delay in detecting the end of a grace period.
+	expireInterval = 100 * time.Millisecond
 	// partitionCheckInterval is the largest delay in detecting the start or end of a network
 	// partition. The balancer checks readiness once a second and acts on two equal answers.
 	partitionCheckInterval = 300 * time.Millisecond
@@ -33,8 +33,8 @@
 	x, end := context.WithCancel(context.Background())
 	g.cancel = end
 
-	g.runInBackground(func() { runEvery(x, removeLapsedInterval, g.state.removeLapsed) })
-	g.runInBackground(func() { runEvery(x, removeLapsedInterval, g.evacuations.reportEmptied) })
+	g.runInBackground(func() { runEvery(x, expireInterval, g.state.expireHeldTargets) })
+	g.runInBackground(func() { runEvery(x, expireInterval, g.evacuations.reportEmptied) })
 	g.runInBackground(func() { runEvery(x, partitionCheckInterval, func() { g.forwarder.CheckConnectivity(x) }) })
 	g.runInBackground(func() { runEvery(x, detector.TickInterval, g.state.recordTick) })
 	g.runInBackground(func() { runEvery(x, idleSweepInterval, func() { g.reaper.Sweep() }) })
--- a/internal/gatekeeper/seen_records.go
+++ b/internal/gatekeeper/seen_records.go
@@ -41,45 +41,45 @@
 }
 
 // contains reports whether a record, or a newer one of its key, was observed.
-func (m *seenRecords) contains(r watcher.Record) bool {
-	x, ok := m.keys[r.Key]
+func (s *seenRecords) contains(r watcher.Record) bool {
+	x, ok := s.keys[r.Key]
 
 	return ok && r.Offset <= x.offset
 }
 
 // set stores the newest record of a key.
-func (m *seenRecords) set(key string, x seenRecord) {
-	if o, ok := m.keys[key]; ok && o.outcome != applied {
-		m.unapplied--
+func (s *seenRecords) set(key string, x seenRecord) {
+	if o, ok := s.keys[key]; ok && o.outcome != applied {
+		s.unapplied--
 	}
 
-	m.keys[key] = x
+	s.keys[key] = x
 
 	if x.outcome == applied {
 		return
 	}
 
-	if m.unapplied++; m.unapplied > maxUnapplied {
-		m.forgetUnapplied()
+	if s.unapplied++; s.unapplied > maxUnapplied {
+		s.forgetUnapplied()
 	}
 }
 
 // forgetUnapplied removes the keys whose newest record was refused or deleted.
-func (m *seenRecords) forgetUnapplied() {
-	for k, x := range m.keys {
+func (s *seenRecords) forgetUnapplied() {
+	for k, x := range s.keys {
 		if x.outcome != applied {
-			delete(m.keys, k)
+			delete(s.keys, k)
 		}
 	}
 
-	m.unapplied = 0
+	s.unapplied = 0
 }
 
 // markMissingDeleted marks the keys that are missing from a list as deleted.
-func (m *seenRecords) markMissingDeleted(newest map[string]int64) {
-	for k, x := range m.keys {
+func (s *seenRecords) markMissingDeleted(newest map[string]int64) {
+	for k, x := range s.keys {
 		if _, ok := newest[k]; !ok && x.outcome != deleted {
-			m.set(k, seenRecord{offset: x.offset, outcome: deleted})
+			s.set(k, seenRecord{offset: x.offset, outcome: deleted})
 		}
 	}
 }
@@ -92,8 +92,8 @@
 // increase, so a key with a lower offset than already observed proves an older state, whatever end
 // the list claims. A missing key that was observed at or after the end proves it too. Any other
 // list is accepted: a missing key in a list with a newer end was deleted.
-func (m *seenRecords) checkNotStale(newest map[string]int64, end int64) error {
-	for k, x := range m.keys {
+func (s *seenRecords) checkNotStale(newest map[string]int64, end int64) error {
+	for k, x := range s.keys {
 		o, ok := newest[k]
 		if ok && o < x.offset || !ok && x.offset >= end && x.outcome != deleted {
 			return errors.Mark(errors.Newf("key %q was already observed at offset %d", k, x.offset), errStaleList)
--- a/internal/gatekeeper/servers.go
+++ b/internal/gatekeeper/servers.go
@@ -80,7 +80,7 @@
 // where it refuses calls that other instances can serve.
 func (g *Gatekeeper) answerReady(c *gin.Context) {
 	r := g.state.Registry()
-	// If all data centres are evacuated the instance is ready: callers are told when to retry.
+	// If all data centres are evacuated the instance is ready: refusals state when to retry.
 	if g.state.Catalog() == nil || len(r.Groups)+len(r.Closed) == 0 || !g.drainer.Ready() || g.forwarder.CutOff() {
 		c.Status(http.StatusServiceUnavailable)
 
--- a/internal/gatekeeper/settings.go
+++ b/internal/gatekeeper/settings.go
@@ -25,8 +25,8 @@
 	Region string
 	// Regions maps the names of data centres to their regions.
 	Regions map[string]string
-	// MostLoad is the multiple of its group's mean load that a target may have; zero means 2.
-	MostLoad float64
+	// MaxFactor is the multiple of its group's mean load that a target may have; zero means 2.
+	MaxFactor float64
 	// ApplyWithin is the time within which a change of the configuration or the targets must be in force
 	// at all instances; zero means DefaultApplyWithin. The wait times of reads are derived from it.
 	ApplyWithin time.Duration
@@ -67,7 +67,7 @@
 }
 
 // Tunables are the settings that may change while an instance runs.
-// Seeds are the addresses of some other instances, used to join them.
+// Seeds are the addresses of a few other instances, used to join them.
 type Tunables struct {
 	// Seeds are where a few of the other instances may be found.
 	Seeds []netip.AddrPort
--- a/internal/gatekeeper/state.go
+++ b/internal/gatekeeper/state.go
@@ -17,11 +17,11 @@
 
 // state holds the catalog, the targets and the evacuations in force. It is safe for concurrent use.
 type state struct {
-	catalog atomic.Pointer[cataloger.Catalog]
-	roster  atomic.Pointer[discoverer.Registry]
-	// known is closed once there is a catalog and the list of targets was read.
-	known          chan struct{}
-	onRosterChange func(r *discoverer.Registry)
+	catalog  atomic.Pointer[cataloger.Catalog]
+	registry atomic.Pointer[discoverer.Registry]
+	// synced is closed once there is a catalog and the list of targets was read.
+	synced           chan struct{}
+	onRegistryChange func(r *discoverer.Registry)
 	// instances returns the number of instances that share the retry budget.
 	instances func() int
 	// detector detects stalls of this process.
@@ -31,44 +31,44 @@
 	// applyWithin is the time within which changes are in force at all instances.
 	applyWithin time.Duration
 
-	mu        sync.Mutex
-	enroller  *discoverer.Discoverer
-	evacuator *evacuator.Evacuator
+	mu         sync.Mutex
+	discoverer *discoverer.Discoverer
+	evacuator  *evacuator.Evacuator
 	// targetsRead reports whether the list of targets was read.
 	targetsRead bool
-	// sourceRoster, sourceCatalog and sourceEvacuations are those that the published roster was
+	// sourceRegistry, sourceCatalog and sourceEvacuations are those that the published registry was
 	// derived from.
-	sourceRoster      *discoverer.Registry
+	sourceRegistry    *discoverer.Registry
 	sourceCatalog     *cataloger.Catalog
 	sourceEvacuations *evacuator.State
-	// closeKnown closes known once.
-	closeKnown sync.Once
+	// closeSynced closes synced once.
+	closeSynced sync.Once
 }
 
 var _ forwarder.ClusterState = (*state)(nil)
 
 func newState() *state {
-	f := &state{
+	s := &state{
 		applyWithin: DefaultApplyWithin,
-		enroller:    discoverer.New(discoverer.DefaultSettings()), evacuator: evacuator.New(), known: make(chan struct{}), detector: detector.New(time.Now()),
+		discoverer:  discoverer.New(discoverer.DefaultSettings()), evacuator: evacuator.New(), synced: make(chan struct{}), detector: detector.New(time.Now()),
 	}
-	f.roster.Store(f.enroller.Registry())
+	s.registry.Store(s.discoverer.Registry())
 
-	return f
+	return s
 }
 
-// Catalog implements forwarder.Facts.
-func (f *state) Catalog() *cataloger.Catalog { return f.catalog.Load() }
+// Catalog implements forwarder.ClusterState.
+func (s *state) Catalog() *cataloger.Catalog { return s.catalog.Load() }
 
-// Synced implements forwarder.Facts.
-func (f *state) Synced() <-chan struct{} { return f.known }
+// Synced implements forwarder.ClusterState.
+func (s *state) Synced() <-chan struct{} { return s.synced }
 
-// Registry implements forwarder.Facts.
-func (f *state) Registry() *discoverer.Registry { return f.roster.Load() }
+// Registry implements forwarder.ClusterState.
+func (s *state) Registry() *discoverer.Registry { return s.registry.Load() }
 
 // version returns the version of the catalog in force; zero means none.
-func (f *state) version() uint64 {
-	c := f.catalog.Load()
+func (s *state) version() uint64 {
+	c := s.catalog.Load()
 	if c == nil {
 		return 0
 	}
@@ -76,24 +76,24 @@
 	return c.Version
 }
 
-// Instances implements forwarder.Facts.
-func (f *state) Instances() int { return f.instances() }
+// Instances implements forwarder.ClusterState.
+func (s *state) Instances() int { return s.instances() }
 
 // freshFraction is how long after the platform confirmed the catalog the absence of a rule or key
 // is certain, as a fraction of the time within which changes are in force.
 const freshFraction = 0.95
 
-// Fresh implements forwarder.Facts.
-func (f *state) Fresh() bool {
-	return time.Since(f.lastConfirmed()) < time.Duration(freshFraction*float64(f.applyWithin))
+// Fresh implements forwarder.ClusterState.
+func (s *state) Fresh() bool {
+	return time.Since(s.lastConfirmed()) < time.Duration(freshFraction*float64(s.applyWithin))
 }
 
-// Stalled implements forwarder.Facts.
-func (f *state) Stalled(since time.Time) bool { return f.detector.Stalled(time.Now(), since) }
+// Stalled implements forwarder.ClusterState.
+func (s *state) Stalled(since time.Time) bool { return s.detector.Stalled(time.Now(), since) }
 
 // recordTick records that this process is running, and logs a stall since the last tick.
-func (f *state) recordTick() {
-	if g := f.detector.Tick(time.Now()); g > 0 {
+func (s *state) recordTick() {
+	if g := s.detector.Tick(time.Now()); g > 0 {
 		logrus.WithFields(logrus.Fields{"event": "stalled", "gap": g.Round(time.Millisecond)}).Warn()
 	}
 }
@@ -102,98 +102,98 @@
 // older state, and a version must never be reverted once callers have observed its effect.
 //
 // The log line includes the size of the record, which determines its transfer time on the link.
-func (f *state) applyCatalog(c *cataloger.Catalog, r watcher.Record) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+func (s *state) applyCatalog(c *cataloger.Catalog, r watcher.Record) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 
-	o := f.catalog.Load()
+	o := s.catalog.Load()
 	if o != nil && o.Version >= c.Version {
 		return
 	}
 
-	f.catalog.Store(c)
-	f.publish()
-	f.signalKnown()
+	s.catalog.Store(c)
+	s.publish()
+	s.signalSynced()
 	logrus.WithFields(logrus.Fields{
 		"event": "catalogInForce", "version": c.Version, "source": "stream", "offset": r.Offset, "bytes": len(r.Value),
 	}).Info()
 }
 
-// signalKnown closes known when there is a catalog and a list of targets. The caller holds the lock.
+// signalSynced closes synced when there is a catalog and a list of targets. The caller holds the lock.
 //
 // An instance that has just started reads its catalog a few milliseconds before its targets. Calls
 // admitted in between would be refused for lack of a target, and callers retry at most once.
-func (f *state) signalKnown() {
-	if f.targetsRead && f.catalog.Load() != nil {
-		f.closeKnown.Do(func() { close(f.known) })
+func (s *state) signalSynced() {
+	if s.targetsRead && s.catalog.Load() != nil {
+		s.closeSynced.Do(func() { close(s.synced) })
 	}
 }
 
 // updateTargets changes the list of targets and publishes it.
-func (f *state) updateTargets(u func(now time.Time, e *discoverer.Discoverer)) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+func (s *state) updateTargets(u func(now time.Time, d *discoverer.Discoverer)) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 
-	u(time.Now(), f.enroller)
-	f.publish()
+	u(time.Now(), s.discoverer)
+	s.publish()
 }
 
-// MarkLeaving implements forwarder.Facts.
-func (f *state) MarkLeaving(p discoverer.Process) bool {
+// MarkLeaving implements forwarder.ClusterState.
+func (s *state) MarkLeaving(p discoverer.Process) bool {
 	var o bool
 
-	f.updateTargets(func(n time.Time, e *discoverer.Discoverer) { o = e.MarkLeaving(n, p) })
+	s.updateTargets(func(n time.Time, d *discoverer.Discoverer) { o = d.MarkLeaving(n, p) })
 
 	return o
 }
 
 // evacuations returns the evacuated data centres.
-func (f *state) evacuations() *evacuator.State {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+func (s *state) evacuations() *evacuator.State {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 
-	return f.evacuator.State()
+	return s.evacuator.State()
 }
 
 // updateEvacuations changes the evacuations and publishes the result.
-func (f *state) updateEvacuations(u func(now time.Time, e *evacuator.Evacuator)) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+func (s *state) updateEvacuations(u func(now time.Time, e *evacuator.Evacuator)) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 
-	u(time.Now(), f.evacuator)
-	f.publish()
+	u(time.Now(), s.evacuator)
+	s.publish()
 }
 
 // stageTargets changes the list of targets without publishing it; the end of the read that
 // contained the change does.
-func (f *state) stageTargets(u func(now time.Time, e *discoverer.Discoverer)) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+func (s *state) stageTargets(u func(now time.Time, d *discoverer.Discoverer)) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 
-	u(time.Now(), f.enroller)
+	u(time.Now(), s.discoverer)
 }
 
 // publish publishes the targets if the list, the groups of the catalog or the evacuations have
 // changed. The caller holds the lock.
-func (f *state) publish() {
-	l, c, e := f.enroller.Registry(), f.catalog.Load(), f.evacuator.State()
-	if l == f.sourceRoster && c == f.sourceCatalog && e == f.sourceEvacuations {
+func (s *state) publish() {
+	l, c, e := s.discoverer.Registry(), s.catalog.Load(), s.evacuator.State()
+	if l == s.sourceRegistry && c == s.sourceCatalog && e == s.sourceEvacuations {
 		return
 	}
 
-	f.sourceRoster, f.sourceCatalog, f.sourceEvacuations = l, c, e
+	s.sourceRegistry, s.sourceCatalog, s.sourceEvacuations = l, c, e
 
 	r := inCatalog(l, c)
 	if len(e.Begun)+len(e.Ended) > 0 {
 		r = r.WithEvacuated(e.Evacuated, e.Ended)
 	}
 
-	if r == f.roster.Load() {
+	if r == s.registry.Load() {
 		return
 	}
 
-	f.roster.Store(r)
-	f.onRosterChange(r)
+	s.registry.Store(r)
+	s.onRegistryChange(r)
 }
 
 // inCatalog returns a list without the targets of groups that the catalog does not contain. It
@@ -215,34 +215,34 @@
 }
 
 // target returns a target's entry, and false when there is none.
-func (f *state) target(id string) (*discoverer.Target, bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+func (s *state) target(id string) (*discoverer.Target, bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 
-	return f.enroller.Lookup(id)
+	return s.discoverer.Lookup(id)
 }
 
 // resetTargets replaces the list of targets, and drops at once the targets whose keys have invalid
 // entries.
-func (f *state) resetTargets(l []discoverer.Target, none []string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+func (s *state) resetTargets(l []discoverer.Target, none []string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 
 	n := time.Now()
 	for _, id := range none {
-		f.enroller.Drop(id)
+		s.discoverer.Drop(id)
 	}
 
-	f.enroller.Reset(n, l)
-	f.publish()
-	f.targetsRead = true
-	f.signalKnown()
+	s.discoverer.Reset(n, l)
+	s.publish()
+	s.targetsRead = true
+	s.signalSynced()
 }
 
-// removeLapsed removes the targets whose entries did not return within the grace period.
-func (f *state) removeLapsed() {
-	f.updateTargets(func(n time.Time, e *discoverer.Discoverer) {
-		for _, id := range e.ExpireHeld(n) {
+// expireHeldTargets removes the targets whose entries did not return within the grace period.
+func (s *state) expireHeldTargets() {
+	s.updateTargets(func(n time.Time, d *discoverer.Discoverer) {
+		for _, id := range d.ExpireHeld(n) {
 			logrus.WithFields(logrus.Fields{"event": "targetLapsed", "target": id}).Info()
 		}
 	})
--- a/internal/gatekeeper/state_test.go
+++ b/internal/gatekeeper/state_test.go
@@ -30,7 +30,7 @@
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
 			f := newState()
-			f.onRosterChange = func(*discoverer.Registry) {}
+			f.onRegistryChange = func(*discoverer.Registry) {}
 
 			if x.catalog {
 				k, err := cataloger.New(c)
@@ -48,13 +48,13 @@
 	}
 }
 
-// Guards against one roster per change: when 3,000 targets registered within seconds, an instance
+// Guards against one registry per change: when 3,000 targets registered within seconds, an instance
 // with 0.2 cores could not keep up, its reads were late, and it requested full lists repeatedly.
-// The changes of one read are published as one roster.
-func TestOneReadPublishesOneRoster(t *testing.T) {
+// The changes of one read are published as one registry.
+func TestOneReadPublishesOneRegistry(t *testing.T) {
 	i := is.New(t)
 	f := newState()
-	f.onRosterChange = func(*discoverer.Registry) {}
+	f.onRegistryChange = func(*discoverer.Registry) {}
 	s, _ := newTestTargetHandler(f)
 	i.NoErr(s.Reset(nil, 0))
 
@@ -80,7 +80,7 @@
 
 	var last *discoverer.Registry
 
-	f.onRosterChange = func(r *discoverer.Registry) { last = r }
+	f.onRegistryChange = func(r *discoverer.Registry) { last = r }
 	s, _ := newTestTargetHandler(f)
 	i.NoErr(s.Reset([]watcher.Record{{Key: "t", Value: []byte("g")}, {Key: "u", Value: []byte("other")}}, 2))
 
--- a/internal/gatekeeper/stop.go
+++ b/internal/gatekeeper/stop.go
@@ -11,7 +11,7 @@
 
 const (
 	// stopMargin is the part of the time limit that a stop leaves unused, so that it completes by
-	// itself and logs the calls that it cut.
+	// itself and logs the calls that it interrupted.
 	stopMargin = 300 * time.Millisecond
 	// advanceInterval is the interval of checks whether a stop may proceed.
 	advanceInterval = 50 * time.Millisecond
--- a/internal/gatekeeper/target_handler_test.go
+++ b/internal/gatekeeper/target_handler_test.go
@@ -46,7 +46,7 @@
 	t.Helper()
 
 	f := newState()
-	f.onRosterChange = func(*discoverer.Registry) {}
+	f.onRegistryChange = func(*discoverer.Registry) {}
 	s, c := newTestTargetHandler(f)
 
 	var l []watcher.Record
@@ -118,7 +118,7 @@
 }
 
 // Guards against a full disk, late log lines and unbounded memory: another program wrote a thousand
-// invalid entries a second, and each was logged and remembered forever.
+// invalid entries a second, and each was logged and remembered for ever.
 func TestContinuousInvalidWrites(t *testing.T) {
 	const (
 		seconds = 60
@@ -183,7 +183,7 @@
 }
 
 // Guards against memory that grows until the process is killed: targets come and go in full lists
-// only, and each was remembered forever.
+// only, and each was remembered for ever.
 func TestDepartedTargetsAreForgotten(t *testing.T) {
 	i := is.New(t)
 	_, s, _ := newTestState(t)
--- a/internal/gossiper/gossiper.go
+++ b/internal/gossiper/gossiper.go
@@ -138,7 +138,7 @@
 	return o
 }
 
-// Receive applies gossip and returns the routers that the sender asked to have introduced.
+// Receive applies gossip and returns the routers whose introductions the sender requested.
 // Members with an invalid address are ignored.
 func (g *Gossiper) Receive(now time.Time, w wire.Gossip) []wire.Member {
 	for _, m := range w.Members {
--- a/internal/granter/backoff_test.go
+++ b/internal/granter/backoff_test.go
@@ -33,7 +33,7 @@
 			f := newFixture(3)
 
 			for _, id := range x.inBackoff {
-				f.BackOff(f.now, id, backoff)
+				f.StartBackoff(f.now, id, backoff)
 			}
 
 			for _, id := range x.leaving {
@@ -70,7 +70,7 @@
 func TestEndOfBackoff(t *testing.T) {
 	i := is.New(t)
 	f := newFixture(1)
-	f.BackOff(f.now, 1, time.Minute)
+	f.StartBackoff(f.now, 1, time.Minute)
 	i.Equal(len(f.Unreported(f.now, f.now.Add(time.Hour))), 0)
 
 	f.now = f.now.Add(time.Minute)
--- a/internal/granter/choose.go
+++ b/internal/granter/choose.go
@@ -147,7 +147,7 @@
 
 func (g *Granter) grant(now time.Time, a Request, t *target, w float64) {
 	g.ejector.StartProbe(now, t.ID)
-	g.suppressor.Sent(now, t.ID)
+	g.suppressor.RecordSent(now, t.ID)
 	g.start(now, Grant{ID: a.ID, Target: t.ID, Customer: a.Customer, Work: w}, a.Weight)
 
 	if a.Chat != 0 && t.Engine {
@@ -215,7 +215,7 @@
 }
 
 // refuseNoTargets refuses a request that no target can accept. If all selected targets are in backoff,
-// the caller is told to retry no earlier than the end of the shortest one.
+// the reply requests a retry no earlier than the end of the shortest one.
 func (g *Granter) refuseNoTargets(now time.Time, a Request) Verdict {
 	var backoff time.Duration
 
--- a/internal/granter/grant.go
+++ b/internal/granter/grant.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// Grant is a slot at a target that was given to a request.
+// Grant is a slot at a target that was granted to a request.
 type Grant struct {
 	ID       ID
 	Target   uint32
@@ -15,9 +15,9 @@
 
 // Outcome is the result of a granted request.
 type Outcome struct {
-	// OK reports that the target answered. An answer that blames the caller's request counts as OK.
+	// OK reports whether the target answered. An answer that blames the caller's request counts as OK.
 	OK bool
-	// NeverSent reports that the request did not reach the target, for a reason that says nothing about
+	// NeverSent reports whether the request failed to reach the target, for a reason that is no evidence on
 	// the target's health.
 	NeverSent bool
 }
@@ -55,7 +55,7 @@
 	delete(g.lastSeen, entry)
 }
 
-// Expire forgets the entries that have sent no message for EntryTimeout. Otherwise the work of a killed
+// Expire removes the grants of the entries that have sent no message for EntryTimeout. Otherwise the work of a killed
 // entry would count for ever and shift load from its targets to the others.
 func (g *Granter) Expire(now time.Time) {
 	for e, t := range g.lastSeen {
--- a/internal/granter/granter.go
+++ b/internal/granter/granter.go
@@ -1,4 +1,4 @@
-// Package granter assigns the requests for one cell of targets to targets. One instance at a time, the
+// Package granter assigns the requests for one cell of targets to targets. One router at a time, the
 // home of the cell (as in home node), runs the cell's Granter, so that its load counts are exact and no
 // slot is granted twice.
 package granter
@@ -103,8 +103,8 @@
 	g.settings.Picker.Slack = l.Slack
 }
 
-// Reserve decides on a request for a slot. A grant counts until Release, or until its entry instance is
-// forgotten. A repeated request with the ID of a grant returns the target of that grant.
+// Reserve decides on a request for a slot. A grant counts until Release, or until the grants of its
+// entry router are removed. A repeated request with the ID of a grant returns the target of that grant.
 func (g *Granter) Reserve(now time.Time, a Request) Verdict {
 	if o, ok := g.grants[a.ID]; ok {
 		return Verdict{Target: o.Target}
@@ -195,13 +195,13 @@
 	g.ejector.RecordResult(now, x.Target, o.OK)
 
 	if o.OK {
-		g.suppressor.Answered(now, x.Target)
+		g.suppressor.RecordAnswer(now, x.Target)
 	}
 }
 
-// BackOff starts a backoff: a target that refused a request asked for no calls for a duration. It gets none
+// StartBackoff starts a backoff: a target that refused a request requested no calls for a duration. It gets none
 // from any entry, since all entries request their slots here. Unknown targets are ignored.
-func (g *Granter) BackOff(now time.Time, t uint32, d time.Duration) {
+func (g *Granter) StartBackoff(now time.Time, t uint32, d time.Duration) {
 	if _, ok := g.byID[t]; ok {
 		g.suppressor.StartBackoff(now, t, d)
 	}
--- a/internal/granter/granter_test.go
+++ b/internal/granter/granter_test.go
@@ -243,7 +243,7 @@
 
 	f.Sync(f.now, 2, 1000, nil) // This cell is empty now.
 	_, v = f.reserve(1, 77, 1)
-	i.Equal(v.Reason, granter.Elsewhere) // The chat still goes to the cell that holds it.
+	i.Equal(v.Reason, granter.Elsewhere) // The chat is still assigned to the cell that holds it.
 	i.Equal(v.Cell, uint32(900))
 
 	_, v = f.reserve(1, 5, 1)
@@ -380,8 +380,8 @@
 	i.Equal(n, 10)
 }
 
-// BenchmarkAskAndRelease measures the cost of a decision by the number of targets in the cell.
-func BenchmarkAskAndRelease(b *testing.B) {
+// BenchmarkReserveAndRelease measures the cost of a decision by the number of targets in the cell.
+func BenchmarkReserveAndRelease(b *testing.B) {
 	for _, n := range []int{4, 8, 16, 24} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
 			f := newFixture(n)
--- a/internal/granter/request.go
+++ b/internal/granter/request.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// ID identifies a grant: the entry instance, which received the client's request and asked for the
+// ID identifies a grant: the entry router, which received the client's request and requested the
 // grant, and the entry's own sequence number.
 type ID struct {
 	Entry uint64
@@ -29,7 +29,7 @@
 	Allowed func(target uint32) bool
 	// Excluded are the targets already tried for this request.
 	Excluded []uint32
-	// Forwarded reports that the Granter of another cell forwarded the request here. It is not forwarded
+	// Forwarded reports whether the Granter of another cell forwarded the request here. It is not forwarded
 	// again.
 	Forwarded bool
 }
--- a/internal/granter/settings.go
+++ b/internal/granter/settings.go
@@ -22,7 +22,7 @@
 	MaxWait     time.Duration
 	// PlacementBytes bounds the memory for placements.
 	PlacementBytes int
-	// EntryTimeout is how long the grants of an entry instance count after its last message.
+	// EntryTimeout is how long the grants of an entry router count after its last message.
 	EntryTimeout time.Duration
 }
 
--- a/internal/granter/verdict.go
+++ b/internal/granter/verdict.go
@@ -36,7 +36,7 @@
 	Target uint32
 	// Cell is the cell to request a slot from if the Reason is Elsewhere.
 	Cell uint32
-	// Returned reports that the target is the one of the chat's placement, which holds its prefix.
+	// Returned reports whether the target is the one of the chat's placement, which holds its prefix.
 	Returned bool
 	// ReportDue requests a Report of the target's load once its answer begins.
 	ReportDue bool
--- a/internal/picker/picker.go
+++ b/internal/picker/picker.go
@@ -37,11 +37,11 @@
 	Weight float64
 	// Load is the work in flight at the target.
 	Load float64
-	// Unavailable reports that the target accepts no new requests. Its load still counts towards
+	// Unavailable reports whether the target accepts no new requests. Its load still counts towards
 	// the mean if Counted is set.
 	Unavailable bool
 	Counted     bool
-	// Excluded reports that the target is excluded for a reason other than its load.
+	// Excluded reports whether the target is excluded for a reason other than its load.
 	Excluded bool
 }
 
@@ -132,7 +132,7 @@
 
 // permits reports whether a target is available and stays within the bound with additional
 // work. An engine far above the mean generates tokens slowly for all its chats. The check
-// includes the new request, so that the bound also holds after the selection.
+// includes the new request, so that the bound is also observed after the selection.
 func (b bound) permits(c Candidate, work float64) bool {
 	return !c.Unavailable && c.Load+work <= b.limit(b.settings.LoadFactor, c)
 }
--- a/internal/reconciler/reconciler.go
+++ b/internal/reconciler/reconciler.go
@@ -64,15 +64,15 @@
 type leaseReducer struct{ *leaser.Leaser }
 
 // ApplyRecord applies a record of the leases stream.
-func (f leaseReducer) ApplyRecord(offset uint64, at time.Time, data []byte) {
+func (l leaseReducer) ApplyRecord(offset uint64, at time.Time, data []byte) {
 	var r leaser.Record
 
 	// A record that cannot be decoded has no lifetime, and so grants no lease.
 	_ = json.Unmarshal(data, &r)
-	f.Apply(offset, at, r)
+	l.Apply(offset, at, r)
 }
 
-// New returns an Orderer that holds no lease. Self identifies this router as a holder.
+// New returns a Reconciler that holds no lease. Self identifies this router as a holder.
 func New(l streamer.Log, t targets, n *counter.Counter, self uint64) *Reconciler {
 	f := &leaseReducer{leaser.New()}
 
--- a/internal/replicator/message.go
+++ b/internal/replicator/message.go
@@ -32,80 +32,80 @@
 
 // Register installs the handlers for requests and notifications of other instances. It must be called
 // before the messenger serves.
-func (w *Replicator) Register(m *messenger.Messenger) {
-	m.Handle(wire.KindSuspects, w.HandleUpdate)
-	m.Handle(wire.KindSuspectsRelay, w.HandleRelay)
-	m.Handle(wire.KindSuspectsRequest, w.HandleRequest)
-	m.Handle(wire.KindTrial, w.HandleTrial)
-	m.Handle(wire.KindReleaseRequest, w.HandleRelease)
+func (r *Replicator) Register(m *messenger.Messenger) {
+	m.Handle(wire.KindSuspects, r.HandleUpdate)
+	m.Handle(wire.KindSuspectsRelay, r.HandleRelay)
+	m.Handle(wire.KindSuspectsRequest, r.HandleRequest)
+	m.Handle(wire.KindTrial, r.HandleTrial)
+	m.Handle(wire.KindReleaseRequest, r.HandleRelease)
 }
 
 // HandleUpdate merges the records sent by another instance. It fails with ErrSuspects.
-func (w *Replicator) HandleUpdate(_ context.Context, _ uint64, body []byte) (msgp.Marshaler, error) {
+func (r *Replicator) HandleUpdate(_ context.Context, _ uint64, body []byte) (msgp.Marshaler, error) {
 	var m wire.Suspects
 	if _, err := m.UnmarshalMsg(body); err != nil {
 		return nil, errors.Mark(err, ErrSuspects)
 	}
 
-	w.merge(&m)
+	r.merge(&m)
 
 	return nil, nil //nolint:nilnil // Without reply.
 }
 
 // HandleRelay merges the records sent by an instance of another data centre and forwards them in the own one.
 // It fails with ErrSuspects if the message cannot be decoded, and does not forward it then.
-func (w *Replicator) HandleRelay(c context.Context, from uint64, body []byte) (msgp.Marshaler, error) {
-	if _, err := w.HandleUpdate(c, from, body); err != nil {
+func (r *Replicator) HandleRelay(c context.Context, from uint64, body []byte) (msgp.Marshaler, error) {
+	if _, err := r.HandleUpdate(c, from, body); err != nil {
 		return nil, err
 	}
 
 	// The connection on which it arrived may close before all are notified.
-	w.broadcaster.Local(context.WithoutCancel(c), kinds, msgp.Raw(body))
+	r.broadcaster.Local(context.WithoutCancel(c), kinds, msgp.Raw(body))
 
 	return nil, nil //nolint:nilnil // Without reply.
 }
 
 // HandleRequest answers with all records, or with none if the requester has the same state. It fails with
 // ErrSuspects.
-func (w *Replicator) HandleRequest(_ context.Context, _ uint64, body []byte) (msgp.Marshaler, error) {
+func (r *Replicator) HandleRequest(_ context.Context, _ uint64, body []byte) (msgp.Marshaler, error) {
 	var q wire.SuspectsRequest
 	if _, err := q.UnmarshalMsg(body); err != nil {
 		return nil, errors.Mark(err, ErrSuspects)
 	}
 
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	r.mu.Lock()
+	defer r.mu.Unlock()
 
-	if q.Fingerprint == w.quarantiner.Fingerprint() {
-		return &wire.Suspects{Fingerprint: q.Fingerprint, Synced: w.synced}, nil
+	if q.Fingerprint == r.quarantiner.Fingerprint() {
+		return &wire.Suspects{Fingerprint: q.Fingerprint, Synced: r.synced}, nil
 	}
 
-	return w.snapshot(), nil
+	return r.snapshot(), nil
 }
 
 // snapshot returns the records that every instance should have. The caller holds the lock.
-func (w *Replicator) snapshot() *wire.Suspects {
-	m := encode(time.Now(), w.quarantiner.Records(maxRecords))
-	m.Fingerprint, m.Synced = w.quarantiner.Fingerprint(), w.synced
+func (r *Replicator) snapshot() *wire.Suspects {
+	m := encode(time.Now(), r.quarantiner.Records(maxRecords))
+	m.Fingerprint, m.Synced = r.quarantiner.Fingerprint(), r.synced
 
 	return m
 }
 
 // reply returns what the sender of a response may lack, including the records of the calls that the
 // response names, which may have been served since.
-func (w *Replicator) reply(r *wire.Suspects) *wire.Suspects {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (r *Replicator) reply(m *wire.Suspects) *wire.Suspects {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 
-	o := w.snapshot()
+	o := r.snapshot()
 
 	var l []digester.Digest
 
-	for _, s := range r.Calls {
+	for _, s := range m.Calls {
 		l = append(l, digester.Digest(s.Call))
 	}
 
-	o.Calls = append(o.Calls, encode(time.Now(), w.quarantiner.RecordsOf(l)).Calls...)
+	o.Calls = append(o.Calls, encode(time.Now(), r.quarantiner.RecordsOf(l)).Calls...)
 
 	return o
 }
@@ -113,16 +113,16 @@
 // syncWith requests all records of another instance and sends it those that it lacks. It returns the time
 // until the next exchange and whether the instance answered. New records are forwarded in the own data
 // centre, whose instances are likely to have missed them too.
-func (w *Replicator) syncWith(c context.Context, m gossiper.Member) (next time.Duration, ok bool) {
+func (r *Replicator) syncWith(c context.Context, m gossiper.Member) (next time.Duration, ok bool) {
 	x, stop := context.WithTimeout(c, syncTimeout)
 	defer stop()
 
-	w.mu.Lock()
-	q := wire.SuspectsRequest{Fingerprint: w.quarantiner.Fingerprint()}
-	w.mu.Unlock()
+	r.mu.Lock()
+	q := wire.SuspectsRequest{Fingerprint: r.quarantiner.Fingerprint()}
+	r.mu.Unlock()
 
-	var r wire.Suspects
-	if err := w.messenger.Call(x, m.Address, wire.KindSuspectsRequest, &q, &r); err != nil {
+	var p wire.Suspects
+	if err := r.messenger.Call(x, m.Address, wire.KindSuspectsRequest, &q, &p); err != nil {
 		logrus.WithFields(logrus.Fields{"event": "suspectsUnanswered", "peer": m.Address, "error": err}).Debug()
 
 		return syncInterval, false
@@ -130,19 +130,19 @@
 
 	next = syncInterval
 
-	if w.merge(&r) {
-		w.broadcaster.Local(c, kinds, &r)
-	} else if len(r.Calls) >= maxRecords {
+	if r.merge(&p) {
+		r.broadcaster.Local(c, kinds, &p)
+	} else if len(p.Calls) >= maxRecords {
 		// There are more records than a message holds, and this response contained nothing new.
 		next = fullSyncInterval
 	}
 
-	a := w.reply(&r)
-	if a.Fingerprint == r.Fingerprint {
+	a := r.reply(&p)
+	if a.Fingerprint == p.Fingerprint {
 		return syncInterval, true
 	}
 
-	if err := w.messenger.Send(x, m.Address, wire.KindSuspects, a); err != nil {
+	if err := r.messenger.Send(x, m.Address, wire.KindSuspects, a); err != nil {
 		logrus.WithFields(logrus.Fields{"event": "suspectsUntold", "peer": m.Address, "error": err}).Debug()
 	}
 
--- a/internal/replicator/replicator.go
+++ b/internal/replicator/replicator.go
@@ -1,9 +1,9 @@
 // Package replicator replicates the records of calls under which targets have crashed to all instances.
 //
-// New records are broadcast at once, since the same call may be on its way through another instance
+// New records are broadcast at once, since the same call may be in transit through another instance
 // already. In addition each instance exchanges records with two others a second, in random order until all
-// have been contacted. So instances that missed a broadcast, have just started, were stalled or were cut
-// off have the same records within seconds. Records of quarantined calls are also written to a store
+// have been contacted. So instances that missed a broadcast, have just started, were stalled or were
+// partitioned have the same records within seconds. Records of quarantined calls are also written to a store
 // outside of the instances, in case all instances are lost.
 package replicator
 
@@ -39,7 +39,7 @@
 	fullSyncInterval = 5 * time.Second
 	// initialSyncInterval is the interval until the first exchange has succeeded.
 	initialSyncInterval = 50 * time.Millisecond
-	// maxRecords bounds the records in a message, and so its size to some kilobytes. Quarantined calls come
+	// maxRecords bounds the records in a message, and so its size to a few kilobytes. Quarantined calls come
 	// first.
 	maxRecords = 64
 	// expireInterval is the interval between removals of expired records.
@@ -101,32 +101,32 @@
 
 // OnCrashes sets a function that is called with the crashes reported by other instances, once for each report.
 // It must be called before the first call is served.
-func (w *Replicator) OnCrashes(f func(l []quarantiner.Crash)) {
-	w.onCrashes = f
+func (r *Replicator) OnCrashes(f func(l []quarantiner.Crash)) {
+	r.onCrashes = f
 }
 
 // Check returns the verdict on a call that has arrived, or is about to be sent again.
-func (w *Replicator) Check(d digester.Digest) quarantiner.Verdict {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (r *Replicator) Check(d digester.Digest) quarantiner.Verdict {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 
-	return w.quarantiner.Check(time.Now(), d)
+	return r.quarantiner.Check(time.Now(), d)
 }
 
 // RecordCrash records that the process of a target crashed while a call was running there, and notifies the other
 // instances. It returns the verdict on further transmissions of the call.
-func (w *Replicator) RecordCrash(d digester.Digest, p discoverer.Name) quarantiner.Verdict {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (r *Replicator) RecordCrash(d digester.Digest, p discoverer.Name) quarantiner.Verdict {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 
-	v, added := w.quarantiner.RecordCrash(time.Now(), d, p)
+	v, added := r.quarantiner.RecordCrash(time.Now(), d, p)
 	if added {
-		w.counts.Crashes++
-		w.markPending(d)
+		r.counts.Crashes++
+		r.markPending(d)
 	}
 
 	if added && v.Status == quarantiner.Quarantined {
-		w.markUnsaved(d)
+		r.markUnsaved(d)
 		logrus.WithFields(logrus.Fields{"event": "callHeldBack", "digest": d, "source": "own", "ends": v.Crashes}).Warn()
 	}
 
@@ -134,121 +134,121 @@
 }
 
 // RecordServed records that a call was answered in full, and notifies the other instances if it was suspected.
-func (w *Replicator) RecordServed(d digester.Digest) {
-	if !w.clearCrashes(d) {
+func (r *Replicator) RecordServed(d digester.Digest) {
+	if !r.clearCrashes(d) {
 		return
 	}
 
-	w.mu.Lock()
-	w.counts.Cleared++
-	w.mu.Unlock()
+	r.mu.Lock()
+	r.counts.Cleared++
+	r.mu.Unlock()
 
 	logrus.WithFields(logrus.Fields{"event": "callExcused", "digest": d}).Info()
 }
 
 // clearCrashes clears the known crashes of a call and notifies the other instances. It reports whether
 // there were any.
-func (w *Replicator) clearCrashes(d digester.Digest) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (r *Replicator) clearCrashes(d digester.Digest) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 
-	quarantined := w.quarantiner.Check(time.Now(), d).Status == quarantiner.Quarantined
-	if !w.quarantiner.RecordServed(d) {
+	quarantined := r.quarantiner.Check(time.Now(), d).Status == quarantiner.Quarantined
+	if !r.quarantiner.RecordServed(d) {
 		return false
 	}
 
 	if quarantined {
-		w.markUnsaved(d)
+		r.markUnsaved(d)
 	}
 
-	w.markPending(d)
+	r.markPending(d)
 
 	return true
 }
 
 // Counts returns the present counts.
-func (w *Replicator) Counts() Counts {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (r *Replicator) Counts() Counts {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 
-	o := w.counts
-	o.Suspected, o.Quarantined = w.quarantiner.Count()
+	o := r.counts
+	o.Suspected, o.Quarantined = r.quarantiner.Count()
 
 	return o
 }
 
 // markPending schedules the broadcast of the record of a call. The caller holds the lock.
-func (w *Replicator) markPending(d digester.Digest) {
-	w.pending[d] = true
+func (r *Replicator) markPending(d digester.Digest) {
+	r.pending[d] = true
 
 	select {
-	case w.wake <- struct{}{}:
+	case r.wake <- struct{}{}:
 	default: // A wake-up is pending.
 	}
 }
 
 // Run replicates records until the context ends.
-func (w *Replicator) Run(c context.Context) {
+func (r *Replicator) Run(c context.Context) {
 	var g sync.WaitGroup
 
-	g.Go(func() { w.broadcast(c) })
-	g.Go(func() { w.syncLoop(c) })
-	g.Go(func() { w.expireLoop(c) })
+	g.Go(func() { r.broadcast(c) })
+	g.Go(func() { r.syncLoop(c) })
+	g.Go(func() { r.expireLoop(c) })
 
-	if w.store != nil {
-		g.Go(func() { w.restore(c) })
-		g.Go(func() { w.save(c) })
+	if r.store != nil {
+		g.Go(func() { r.restore(c) })
+		g.Go(func() { r.save(c) })
 	}
 
 	g.Wait()
 }
 
 // broadcast sends changed records to the other instances.
-func (w *Replicator) broadcast(c context.Context) {
+func (r *Replicator) broadcast(c context.Context) {
 	for {
 		select {
-		case <-w.wake:
+		case <-r.wake:
 		case <-c.Done():
 			return
 		}
 
 		sleeper.Sleep(c, batchDelay)
 
-		if m := w.takePending(); len(m.Calls) > 0 {
-			w.broadcaster.All(c, kinds, m)
+		if m := r.takePending(); len(m.Calls) > 0 {
+			r.broadcaster.All(c, kinds, m)
 		}
 	}
 }
 
 // takePending returns the records to be broadcast, at most maxRecords, and removes them from the pending
 // ones.
-func (w *Replicator) takePending() *wire.Suspects {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (r *Replicator) takePending() *wire.Suspects {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 
 	var l []digester.Digest
 
-	for d := range w.pending {
+	for d := range r.pending {
 		if len(l) == maxRecords {
-			w.markPending(d) // The remainder follows in the next message.
+			r.markPending(d) // The remainder follows in the next message.
 
 			break
 		}
 
 		l = append(l, d)
-		delete(w.pending, d)
+		delete(r.pending, d)
 	}
 
-	return encode(time.Now(), w.quarantiner.RecordsOf(l))
+	return encode(time.Now(), r.quarantiner.RecordsOf(l))
 }
 
 // syncLoop exchanges records with one other instance after the other.
-func (w *Replicator) syncLoop(c context.Context) {
+func (r *Replicator) syncLoop(c context.Context) {
 	d := initialSyncInterval
 
 	for c.Err() == nil {
-		if m, ok := w.next(); ok {
-			if next, answered := w.syncWith(c, m); answered {
+		if m, ok := r.next(); ok {
+			if next, answered := r.syncWith(c, m); answered {
 				d = next
 			}
 		}
@@ -257,55 +257,55 @@
 	}
 }
 
-// next returns the instance to exchange records with next. After each round the order is drawn anew.
-func (w *Replicator) next() (gossiper.Member, bool) {
+// next returns the instance to exchange records with next. After each round the order is shuffled again.
+func (r *Replicator) next() (gossiper.Member, bool) {
 	l := make(map[uint64]gossiper.Member)
 
-	for _, m := range w.members.Live() {
-		if m.ID != w.members.Self().ID {
+	for _, m := range r.members.Live() {
+		if m.ID != r.members.Self().ID {
 			l[m.ID] = m
 		}
 	}
 
-	w.order = slices.DeleteFunc(w.order, func(id uint64) bool { _, ok := l[id]; return !ok })
+	r.order = slices.DeleteFunc(r.order, func(id uint64) bool { _, ok := l[id]; return !ok })
 
-	if len(w.order) == 0 {
+	if len(r.order) == 0 {
 		// The iteration order of a map is random, but not uniformly distributed.
-		w.order = slices.Collect(maps.Keys(l))
-		rand.Shuffle(len(w.order), func(a, b int) { w.order[a], w.order[b] = w.order[b], w.order[a] }) //nolint:gosec // Distributes work.
+		r.order = slices.Collect(maps.Keys(l))
+		rand.Shuffle(len(r.order), func(a, b int) { r.order[a], r.order[b] = r.order[b], r.order[a] }) //nolint:gosec // Distributes work.
 	}
 
-	if len(w.order) == 0 {
+	if len(r.order) == 0 {
 		return gossiper.Member{}, false
 	}
 
-	m := l[w.order[0]]
-	w.order = w.order[1:]
+	m := l[r.order[0]]
+	r.order = r.order[1:]
 
 	return m, true
 }
 
-func (w *Replicator) expireLoop(c context.Context) {
+func (r *Replicator) expireLoop(c context.Context) {
 	for c.Err() == nil {
 		sleeper.Sleep(c, expireInterval)
-		w.mu.Lock()
-		w.quarantiner.Expire(time.Now())
-		w.trials.Expire(time.Now())
-		w.mu.Unlock()
+		r.mu.Lock()
+		r.quarantiner.Expire(time.Now())
+		r.trials.Expire(time.Now())
+		r.mu.Unlock()
 	}
 }
 
 // merge merges the records of another instance and reports whether any of them was new.
-func (w *Replicator) merge(m *wire.Suspects) bool {
-	r := decode(time.Now(), m)
+func (r *Replicator) merge(m *wire.Suspects) bool {
+	p := decode(time.Now(), m)
 
-	w.mu.Lock()
-	w.synced = w.synced || m.Synced
-	l, changed := w.quarantiner.Merge(time.Now(), r)
-	w.mu.Unlock()
+	r.mu.Lock()
+	r.synced = r.synced || m.Synced
+	l, changed := r.quarantiner.Merge(time.Now(), p)
+	r.mu.Unlock()
 
-	for _, x := range r {
-		w.onCrashes(x.Crashes)
+	for _, x := range p {
+		r.onCrashes(x.Crashes)
 	}
 
 	for _, d := range l {
--- a/internal/replicator/replicator_test.go
+++ b/internal/replicator/replicator_test.go
@@ -36,8 +36,8 @@
 	instances []*replicator.Replicator
 
 	mu sync.Mutex
-	// cut are the instances that are partitioned from all others.
-	cut map[int]bool
+	// partitioned are the instances that are partitioned from all others.
+	partitioned map[int]bool
 	// bytes counts what the instances sent.
 	bytes int
 }
@@ -62,11 +62,11 @@
 
 	v.mu.Lock()
 	v.bytes += len(b)
-	cut := v.cut[n] || v.cut[v.number]
+	p := v.partitioned[n] || v.partitioned[v.number]
 	v.mu.Unlock()
 
-	if cut {
-		return nil, errors.New("cut off")
+	if p {
+		return nil, errors.New("partitioned")
 	}
 
 	x := v.instances[n]
@@ -121,7 +121,7 @@
 	t.Helper()
 	logrus.SetLevel(logrus.PanicLevel)
 
-	f := &fleet{cut: make(map[int]bool)}
+	f := &fleet{partitioned: make(map[int]bool)}
 
 	for i := range n {
 		f.members = append(f.members, gossiper.Member{
@@ -163,12 +163,12 @@
 	return o
 }
 
-func (f *fleet) setCut(cut bool, l ...int) {
+func (f *fleet) setPartitioned(partitioned bool, l ...int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
 	for _, i := range l {
-		f.cut[i] = cut
+		f.partitioned[i] = partitioned
 	}
 }
 
@@ -188,7 +188,7 @@
 
 				is.Equal(f.quarantined(), n)
 
-				// Once it is served at one instance, it is free everywhere.
+				// Once it is served at one instance, it is cleared at all instances.
 				f.instances[4].RecordServed(call)
 				time.Sleep(broadcastTime)
 				is.Equal(f.quarantined(), 0)
@@ -197,23 +197,23 @@
 	}
 }
 
-// Guards against records missed during a network partition. An instance that was cut off while a call
+// Guards against records missed during a network partition. An instance that was partitioned while a call
 // crashed three targets elsewhere must have the record within the required bound, as one that has just
-// started; and one that was cut off and detected the crashes must notify the others.
+// started; and one that was partitioned and detected the crashes must notify the others.
 func TestMissedRecordsAreRepaired(t *testing.T) {
-	for name, x := range map[string]struct{ cut int }{
-		"cut off during the crashes": {cut: 5},
-		"cut off, detects crashes":   {cut: 0},
+	for name, x := range map[string]struct{ partitioned int }{
+		"partitioned during the crashes": {partitioned: 5},
+		"partitioned, detects crashes":   {partitioned: 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				f := start(t, 6)
-				f.setCut(true, x.cut)
+				f.setPartitioned(true, x.partitioned)
 				f.crash(0, 3)
 				is.True(f.quarantined() < 6)
 
-				f.setCut(false, x.cut)
+				f.setPartitioned(false, x.partitioned)
 				time.Sleep(bound)
 				is.Equal(f.quarantined(), 6)
 			})
@@ -222,7 +222,7 @@
 }
 
 // Guards against a lost notification that a call was served: a quarantined call is served by an instance
-// that was cut off and had no record of it. All instances clear it when they reach that one again.
+// that was partitioned and had no record of it. All instances clear it when they reach that one again.
 func TestClearedCallReachesAll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -230,12 +230,12 @@
 		f.crash(0, 3)
 		is.Equal(f.quarantined(), 6)
 
-		f.setCut(true, 5)
+		f.setPartitioned(true, 5)
 		f.instances[5].RecordServed(call)
 		time.Sleep(time.Second)
 		is.Equal(f.quarantined(), 5)
 
-		f.setCut(false, 5)
+		f.setPartitioned(false, 5)
 		time.Sleep(bound)
 		is.Equal(f.quarantined(), 0)
 	})
@@ -277,13 +277,13 @@
 			for n := range 100 {
 				d := digester.Digest(1000*i + n)
 
-				f.setCut(true, i) // No other instance is notified.
+				f.setPartitioned(true, i) // No other instance is notified.
 				w.RecordCrash(d, 1)
 				w.RecordCrash(d, 2)
 			}
 
 			time.Sleep(50 * time.Millisecond)
-			f.setCut(false, i)
+			f.setPartitioned(false, i)
 		}
 
 		time.Sleep(time.Minute)
--- a/internal/replicator/store.go
+++ b/internal/replicator/store.go
@@ -43,32 +43,32 @@
 //
 // It begins immediately, as the reading of the catalog and of the target list does. When it began a second
 // after the start of four instances, a call that crashes targets had crashed four by then.
-func (w *Replicator) restore(c context.Context) {
-	for tries := 1; c.Err() == nil && !w.isSynced(); tries++ {
-		l, err := w.readNewest(c)
+func (r *Replicator) restore(c context.Context) {
+	for tries := 1; c.Err() == nil && !r.isSynced(); tries++ {
+		l, err := r.readNewest(c)
 		if err == nil {
-			m := w.load(l)
+			m := r.load(l)
 
 			// After success at the first attempt the records are not broadcast: the other instances read
 			// them as well.
 			if tries > 1 {
-				w.broadcaster.All(c, kinds, m)
+				r.broadcaster.All(c, kinds, m)
 			}
 
 			return
 		}
 
 		logrus.WithFields(logrus.Fields{"event": "heldCallsUnread", "error": err}).Warn()
-		sleeper.Sleep(c, time.Duration(1+min(w.rank(), maxRank))*storeRetryDelay)
+		sleeper.Sleep(c, time.Duration(1+min(r.rank(), maxRank))*storeRetryDelay)
 	}
 }
 
 // rank returns the number of live instances with a lower ID.
-func (w *Replicator) rank() int {
+func (r *Replicator) rank() int {
 	n := 0
 
-	for _, m := range w.members.Live() {
-		if m.ID < w.members.Self().ID {
+	for _, m := range r.members.Live() {
+		if m.ID < r.members.Self().ID {
 			n++
 		}
 	}
@@ -76,40 +76,40 @@
 	return n
 }
 
-func (w *Replicator) isSynced() bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (r *Replicator) isSynced() bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 
-	return w.synced
+	return r.synced
 }
 
-func (w *Replicator) readNewest(c context.Context) ([]watcher.Record, error) {
+func (r *Replicator) readNewest(c context.Context) ([]watcher.Record, error) {
 	x, stop := extender.New(c, extender.DefaultSettings(storeTimeout))
 	defer stop()
 
-	l, _, err := w.store.Newest(x)
+	l, _, err := r.store.Newest(x)
 
 	return l, err
 }
 
 // load merges the stored records and schedules the deletion of those that are older than the retention. It
 // returns what the other instances should merge, also when there are no records.
-func (w *Replicator) load(l []watcher.Record) *wire.Suspects {
+func (r *Replicator) load(l []watcher.Record) *wire.Suspects {
 	n := time.Now()
 	m := &wire.Suspects{Synced: true}
 
-	w.mu.Lock()
+	r.mu.Lock()
 
-	for _, r := range l {
-		s, err := parse(n, r)
+	for _, x := range l {
+		s, err := parse(n, x)
 		if err != nil {
-			logrus.WithFields(logrus.Fields{"event": "heldCallRefused", "key": r.Key, "offset": r.Offset, "error": err}).Warn()
+			logrus.WithFields(logrus.Fields{"event": "heldCallRefused", "key": x.Key, "offset": x.Offset, "error": err}).Warn()
 
 			continue
 		}
 
-		if time.Duration(s.LastSeenMs)*time.Millisecond >= w.retention {
-			w.markUnsaved(digester.Digest(s.Call))
+		if time.Duration(s.LastSeenMs)*time.Millisecond >= r.retention {
+			r.markUnsaved(digester.Digest(s.Call))
 
 			continue
 		}
@@ -117,9 +117,9 @@
 		m.Calls = append(m.Calls, s)
 	}
 
-	w.mu.Unlock()
+	r.mu.Unlock()
 
-	w.merge(m)
+	r.merge(m)
 	logrus.WithFields(logrus.Fields{"event": "heldCallsRead", "calls": len(m.Calls)}).Info()
 
 	return m
@@ -149,46 +149,46 @@
 }
 
 // markUnsaved schedules the update of the stored record of a call. The caller holds the lock.
-func (w *Replicator) markUnsaved(d digester.Digest) {
-	if w.store == nil {
+func (r *Replicator) markUnsaved(d digester.Digest) {
+	if r.store == nil {
 		return
 	}
 
-	w.unsaved[d] = true
+	r.unsaved[d] = true
 
 	select {
-	case w.saveWake <- struct{}{}:
+	case r.saveWake <- struct{}{}:
 	default: // A wake-up is pending.
 	}
 }
 
 // save writes scheduled records until the context ends. Failed writes are repeated.
-func (w *Replicator) save(c context.Context) {
+func (r *Replicator) save(c context.Context) {
 	for {
 		select {
-		case <-w.saveWake:
+		case <-r.saveWake:
 		case <-c.Done():
 			return
 		}
 
-		for d, ok := w.nextUnsaved(); ok && c.Err() == nil; d, ok = w.nextUnsaved() {
-			if err := w.saveRecord(c, d); err != nil {
+		for d, ok := r.nextUnsaved(); ok && c.Err() == nil; d, ok = r.nextUnsaved() {
+			if err := r.saveRecord(c, d); err != nil {
 				logrus.WithFields(logrus.Fields{"event": "heldCallUnwritten", "digest": d, "error": err}).Warn()
-				w.mu.Lock()
-				w.unsaved[d] = true
-				w.mu.Unlock()
+				r.mu.Lock()
+				r.unsaved[d] = true
+				r.mu.Unlock()
 				sleeper.Sleep(c, storeRetryDelay)
 			}
 		}
 	}
 }
 
-func (w *Replicator) nextUnsaved() (digester.Digest, bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (r *Replicator) nextUnsaved() (digester.Digest, bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 
-	for d := range w.unsaved {
-		delete(w.unsaved, d)
+	for d := range r.unsaved {
+		delete(r.unsaved, d)
 
 		return d, true
 	}
@@ -197,19 +197,19 @@
 }
 
 // saveRecord writes the record of a call if it is quarantined, and deletes it from the store otherwise.
-func (w *Replicator) saveRecord(c context.Context, d digester.Digest) error {
+func (r *Replicator) saveRecord(c context.Context, d digester.Digest) error {
 	x, stop := context.WithTimeout(c, storeTimeout)
 	defer stop()
 
 	n := time.Now()
 
-	w.mu.Lock()
-	quarantined := slices.Contains(w.quarantiner.Quarantined(), d)
-	m := encode(n, w.quarantiner.RecordsOf([]digester.Digest{d}))
-	w.mu.Unlock()
+	r.mu.Lock()
+	quarantined := slices.Contains(r.quarantiner.Quarantined(), d)
+	m := encode(n, r.quarantiner.RecordsOf([]digester.Digest{d}))
+	r.mu.Unlock()
 
 	if !quarantined || len(m.Calls) == 0 {
-		return w.store.Put(x, d.String(), nil)
+		return r.store.Put(x, d.String(), nil)
 	}
 
 	b, err := (&wire.QuarantineRecord{Suspect: m.Calls[0], WrittenMs: n.UnixMilli()}).MarshalMsg(nil)
@@ -217,5 +217,5 @@
 		return errors.Mark(err, errRecord)
 	}
 
-	return w.store.Put(x, d.String(), b)
+	return r.store.Put(x, d.String(), b)
 }
--- a/internal/replicator/trial.go
+++ b/internal/replicator/trial.go
@@ -19,7 +19,7 @@
 const (
 	// homeTimeout bounds a request to the home (home node) of a call, the one instance responsible for it.
 	// An answer takes one or two milliseconds within a region. Without an answer a suspected call is sent:
-	// it may not be the cause of the crashes, and the data centre of its home may be cut off.
+	// it may not be the cause of the crashes, and the data centre of its home may be partitioned.
 	homeTimeout = 30 * time.Millisecond
 	// trialPollInterval is the interval between two requests while another trial of the call is running.
 	trialPollInterval = 50 * time.Millisecond
@@ -32,19 +32,19 @@
 
 // Admit reports whether a call with a deadline may be sent to a target. A suspected call waits while another
 // trial of it is running. The returned function must be called when the target has answered or crashed.
-func (w *Replicator) Admit(c context.Context, d digester.Digest, deadline time.Time) (quarantiner.Verdict, bool, func()) {
+func (r *Replicator) Admit(c context.Context, d digester.Digest, deadline time.Time) (quarantiner.Verdict, bool, func()) {
 	b := time.Now()
 	until := b.Add(min(maxTrialWait, deadline.Sub(b)/trialWaitDivisor))
 
 	for {
-		v := w.Check(d)
+		v := r.Check(d)
 		if v.Status == quarantiner.Free {
 			return v, true, func() {}
 		}
 
-		h := w.home(d)
-		if (v.Status == quarantiner.Suspected || v.TrialDue) && w.requestTrial(c, h, d, v) {
-			return v, true, func() { w.finishTrial(h, d) }
+		h := r.home(d)
+		if (v.Status == quarantiner.Suspected || v.TrialDue) && r.requestTrial(c, h, d, v) {
+			return v, true, func() { r.finishTrial(h, d) }
 		}
 
 		if v.Status == quarantiner.Quarantined || c.Err() != nil || time.Now().Add(trialPollInterval).After(until) {
@@ -57,11 +57,11 @@
 
 // home returns the live instance that is responsible for granting trials of a call: the highest by
 // rendezvous hashing.
-func (w *Replicator) home(d digester.Digest) gossiper.Member {
-	o := w.members.Self()
+func (r *Replicator) home(d digester.Digest) gossiper.Member {
+	o := r.members.Self()
 	best := hasher.Mix(uint64(d), o.ID)
 
-	for _, m := range w.members.Live() {
+	for _, m := range r.members.Live() {
 		if k := hasher.Mix(uint64(d), m.ID); k > best {
 			o, best = m, k
 		}
@@ -71,40 +71,40 @@
 }
 
 // requestTrial requests from the home of a call that it may be sent, and reports whether it may.
-func (w *Replicator) requestTrial(c context.Context, h gossiper.Member, d digester.Digest, v quarantiner.Verdict) bool {
-	if h.ID == w.members.Self().ID {
-		return w.grantTrial(d)
+func (r *Replicator) requestTrial(c context.Context, h gossiper.Member, d digester.Digest, v quarantiner.Verdict) bool {
+	if h.ID == r.members.Self().ID {
+		return r.grantTrial(d)
 	}
 
 	x, stop := context.WithTimeout(c, homeTimeout)
 	defer stop()
 
-	var r wire.TrialReply
-	if err := w.messenger.Call(x, h.Address, wire.KindTrial, &wire.Trial{Call: uint64(d), Known: w.recordOf(d)}, &r); err != nil {
+	var p wire.TrialReply
+	if err := r.messenger.Call(x, h.Address, wire.KindTrial, &wire.Trial{Call: uint64(d), Known: r.recordOf(d)}, &p); err != nil {
 		logrus.WithFields(logrus.Fields{"event": "trialUnanswered", "digest": d, "peer": h.Address, "error": err}).Debug()
 
 		// A quarantined call is only sent when its home grants the trial.
 		return v.Status == quarantiner.Suspected
 	}
 
-	w.merge(&r.Known)
+	r.merge(&p.Known)
 
-	return r.Granted
+	return p.Granted
 }
 
 // recordOf returns the record of a call. It is part of requests, so that a home does not grant the next
 // trial before it knows that the last one crashed a target.
-func (w *Replicator) recordOf(d digester.Digest) wire.Suspects {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (r *Replicator) recordOf(d digester.Digest) wire.Suspects {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 
-	return *encode(time.Now(), w.quarantiner.RecordsOf([]digester.Digest{d}))
+	return *encode(time.Now(), r.quarantiner.RecordsOf([]digester.Digest{d}))
 }
 
 // finishTrial notifies the home of a call that a trial is over.
-func (w *Replicator) finishTrial(h gossiper.Member, d digester.Digest) {
-	if h.ID == w.members.Self().ID {
-		w.endTrial(d)
+func (r *Replicator) finishTrial(h gossiper.Member, d digester.Digest) {
+	if h.ID == r.members.Self().ID {
+		r.endTrial(d)
 
 		return
 	}
@@ -112,49 +112,49 @@
 	x, stop := context.WithTimeout(context.Background(), homeTimeout)
 	defer stop()
 
-	if err := w.messenger.Send(x, h.Address, wire.KindTrial, &wire.Trial{Call: uint64(d), Finished: true, Known: w.recordOf(d)}); err != nil {
+	if err := r.messenger.Send(x, h.Address, wire.KindTrial, &wire.Trial{Call: uint64(d), Finished: true, Known: r.recordOf(d)}); err != nil {
 		logrus.WithFields(logrus.Fields{"event": "trialUntold", "digest": d, "peer": h.Address, "error": err}).Debug()
 	}
 }
 
-func (w *Replicator) grantTrial(d digester.Digest) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (r *Replicator) grantTrial(d digester.Digest) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 
 	n := time.Now()
 
-	return w.trials.Begin(n, w.quarantiner.Check(n, d), d)
+	return r.trials.Begin(n, r.quarantiner.Check(n, d), d)
 }
 
-func (w *Replicator) endTrial(d digester.Digest) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (r *Replicator) endTrial(d digester.Digest) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 
-	w.trials.End(d)
+	r.trials.End(d)
 }
 
 // HandleTrial handles a request for a trial, or the notification that one is over. It fails with ErrSuspects.
-func (w *Replicator) HandleTrial(_ context.Context, _ uint64, body []byte) (msgp.Marshaler, error) {
+func (r *Replicator) HandleTrial(_ context.Context, _ uint64, body []byte) (msgp.Marshaler, error) {
 	var q wire.Trial
 	if _, err := q.UnmarshalMsg(body); err != nil {
 		return nil, errors.Mark(err, ErrSuspects)
 	}
 
 	d := digester.Digest(q.Call)
-	w.merge(&q.Known)
+	r.merge(&q.Known)
 
 	if q.Finished {
-		w.endTrial(d)
+		r.endTrial(d)
 
 		return nil, nil //nolint:nilnil // Without reply.
 	}
 
-	return &wire.TrialReply{Granted: w.grantTrial(d), Known: w.recordOf(d)}, nil
+	return &wire.TrialReply{Granted: r.grantTrial(d), Known: r.recordOf(d)}, nil
 }
 
 // HandleRelease handles the request of an operator to release quarantined calls: they are treated as if they had
 // been served. It fails with ErrSuspects.
-func (w *Replicator) HandleRelease(_ context.Context, _ uint64, body []byte) (msgp.Marshaler, error) {
+func (r *Replicator) HandleRelease(_ context.Context, _ uint64, body []byte) (msgp.Marshaler, error) {
 	var q wire.ReleaseRequest
 	if _, err := q.UnmarshalMsg(body); err != nil {
 		return nil, errors.Mark(err, ErrSuspects)
@@ -163,21 +163,21 @@
 	l := q.Calls
 
 	if q.All {
-		w.mu.Lock()
-		for _, d := range w.quarantiner.Quarantined() {
+		r.mu.Lock()
+		for _, d := range r.quarantiner.Quarantined() {
 			l = append(l, uint64(d))
 		}
-		w.mu.Unlock()
+		r.mu.Unlock()
 	}
 
-	var r wire.ReleaseReply
+	var o wire.ReleaseReply
 
 	for _, d := range l {
-		if w.clearCrashes(digester.Digest(d)) {
-			r.Calls = append(r.Calls, d)
+		if r.clearCrashes(digester.Digest(d)) {
+			o.Calls = append(o.Calls, d)
 			logrus.WithFields(logrus.Fields{"event": "callReleased", "digest": digester.Digest(d)}).Warn()
 		}
 	}
 
-	return &r, nil
+	return &o, nil
 }
--- a/internal/replicator/trial_test.go
+++ b/internal/replicator/trial_test.go
@@ -113,14 +113,14 @@
 				sent := 0
 
 				for i, w := range f.instances {
-					f.setCut(true, i)
+					f.setPartitioned(true, i)
 
 					// One instance may be the home itself; the others cannot reach it.
 					if _, ok, _ := w.Admit(t.Context(), call, time.Now()); ok {
 						sent++
 					}
 
-					f.setCut(false, i)
+					f.setPartitioned(false, i)
 				}
 
 				if x.want {
@@ -134,7 +134,7 @@
 }
 
 // Guards against more than one trial of a quarantined call when it is due: one is granted in the whole
-// fleet. Once it is served, the call is free everywhere.
+// fleet. Once it is served, the call is cleared at all instances.
 func TestDueCallIsSentOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -158,7 +158,7 @@
 	})
 }
 
-// Guards against a release that takes effect at some instances only: an operator releases one call, or all,
+// Guards against a release that takes effect at a part of the instances only: an operator releases one call, or all,
 // at any instance.
 func TestRelease(t *testing.T) {
 	for name, x := range map[string]struct {
--- a/internal/requester/report.go
+++ b/internal/requester/report.go
@@ -21,31 +21,31 @@
 }
 
 // Release releases a slot, with the outcome of its attempt.
-func (a *Requester) Release(p Reservation, o granter.Outcome) {
-	a.mu.Lock()
-	if x, ok := a.cells[p.cell.ID]; ok {
+func (r *Requester) Release(p Reservation, o granter.Outcome) {
+	r.mu.Lock()
+	if x, ok := r.cells[p.cell.ID]; ok {
 		delete(x.grants, p.seq)
 	}
-	a.mu.Unlock()
+	r.mu.Unlock()
 
 	w := wire.Release{Seq: p.seq, Cell: p.cell.ID, OK: o.OK, NeverSent: o.NeverSent}
 
-	h, ok := a.remoteHome(p.cell)
+	h, ok := r.remoteHome(p.cell)
 	if !ok {
-		a.supervisor.Release(time.Now(), a.members.Self().ID, w)
+		r.supervisor.Release(time.Now(), r.members.Self().ID, w)
 
 		return
 	}
 
 	// The next list of grants corrects a lost release.
-	a.send(h, wire.KindRelease, &w)
+	r.send(h, wire.KindRelease, &w)
 }
 
 // Report forwards what a target reported at the start of its answer to the home, if the
 // home requested a load report or the target's state is due. It must be called before the
 // answer is complete: a target that is shutting down would get new calls until then.
-func (a *Requester) Report(p Reservation, requests int, s tracker.State) {
-	n := a.stateDue(p.Target, s)
+func (r *Requester) Report(p Reservation, requests int, s tracker.State) {
+	n := r.stateDue(p.Target, s)
 	if !p.reportDue && !n {
 		return
 	}
@@ -56,39 +56,39 @@
 		w.Leaving = s.Leaving
 	}
 
-	h, ok := a.remoteHome(p.cell)
+	h, ok := r.remoteHome(p.cell)
 	if !ok {
-		a.supervisor.Report(time.Now(), w)
+		r.supervisor.Report(time.Now(), w)
 
 		return
 	}
 
-	a.send(h, wire.KindReport, &w)
+	r.send(h, wire.KindReport, &w)
 }
 
-// BackOff notifies the home that a target requested a backoff of the given duration.
-func (a *Requester) BackOff(p Reservation, d time.Duration) {
+// StartBackoff notifies the home that a target requested a backoff of the given duration.
+func (r *Requester) StartBackoff(p Reservation, d time.Duration) {
 	w := wire.Backoff{Cell: p.cell.ID, Target: p.Target, DurationMs: uint32(min(d.Milliseconds(), math.MaxUint32))} //nolint:gosec // Bounded.
 
-	h, ok := a.remoteHome(p.cell)
+	h, ok := r.remoteHome(p.cell)
 	if !ok {
-		a.supervisor.BackOff(time.Now(), w)
+		r.supervisor.StartBackoff(time.Now(), w)
 
 		return
 	}
 
-	a.send(h, wire.KindBackoff, &w)
+	r.send(h, wire.KindBackoff, &w)
 }
 
 // send sends a message to a home, and suspects the home on failure.
-func (a *Requester) send(h gossiper.Member, k wire.Kind, m msgp.Marshaler) {
+func (r *Requester) send(h gossiper.Member, k wire.Kind, m msgp.Marshaler) {
 	c, stop := context.WithTimeout(context.Background(), sendTimeout)
 	defer stop()
 
 	b := time.Now()
 
-	if err := a.peers.Send(c, h.Address, k, m); err != nil {
-		a.suspect(h, b, err)
+	if err := r.peers.Send(c, h.Address, k, m); err != nil {
+		r.suspect(h, b, err)
 	}
 }
 
@@ -98,27 +98,27 @@
 // After a stall, all pending requests time out. If their homes were excluded, this router
 // would decide locally for seconds, while the healthy homes continue to grant slots of
 // the same targets.
-func (a *Requester) suspect(h gossiper.Member, start time.Time, err error) {
-	if detector.TimedOut(err) && a.stalls.Stalled(start) {
+func (r *Requester) suspect(h gossiper.Member, start time.Time, err error) {
+	if detector.TimedOut(err) && r.stalls.Stalled(start) {
 		return
 	}
 
-	a.members.Suspect(h.ID)
+	r.members.Suspect(h.ID)
 }
 
 // stateDue reports whether a target's state must be reported to its home, and records that
 // it is: if it has changed, and otherwise each syncInterval in case the home is new. A
 // state without an incarnation is never reported.
-func (a *Requester) stateDue(target uint32, s tracker.State) bool {
-	a.mu.Lock()
-	defer a.mu.Unlock()
+func (r *Requester) stateDue(target uint32, s tracker.State) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 
-	o := a.reported[target]
+	o := r.reported[target]
 	if s.Incarnation == 0 || (o.state == s && time.Since(o.at) < syncInterval) {
 		return false
 	}
 
-	a.reported[target] = stateReport{state: s, at: time.Now()}
+	r.reported[target] = stateReport{state: s, at: time.Now()}
 
 	return true
 }
--- a/internal/requester/requester.go
+++ b/internal/requester/requester.go
@@ -41,12 +41,12 @@
 	Reserve(now time.Time, entry uint64, w wire.SlotRequest) (wire.SlotReply, error)
 	Release(now time.Time, entry uint64, w wire.Release)
 	Report(now time.Time, w wire.Report)
-	BackOff(now time.Time, w wire.Backoff)
+	StartBackoff(now time.Time, w wire.Backoff)
 	Sync(now time.Time, entry uint64, w wire.Sync)
 }
 
-// stallDetector reports whether this process was stalled since a time.
-type stallDetector interface {
+// stallMonitor reports whether this process was stalled since a time.
+type stallMonitor interface {
 	Stalled(since time.Time) bool
 }
 
@@ -56,7 +56,7 @@
 	members    members
 	supervisor supervisor
 	counter    *counter.Counter
-	stalls     stallDetector
+	stalls     stallMonitor
 	timeout    time.Duration
 
 	mu  sync.Mutex
@@ -77,7 +77,7 @@
 }
 
 // New returns a Requester without grants. The timeout bounds one request to a home.
-func New(m peers, l members, s supervisor, n *counter.Counter, d stallDetector, timeout time.Duration) *Requester {
+func New(m peers, l members, s supervisor, n *counter.Counter, d stallMonitor, timeout time.Duration) *Requester {
 	return &Requester{
 		peers: m, members: l, supervisor: s, counter: n, stalls: d, timeout: timeout,
 		pending: make(map[uint32]bool), cells: make(map[uint32]*cell), reported: make(map[uint32]stateReport),
@@ -86,14 +86,14 @@
 
 // Run sends each cell's home the list of this router's grants periodically, until the
 // context ends.
-func (a *Requester) Run(c context.Context) {
+func (r *Requester) Run(c context.Context) {
 	t := time.NewTicker(syncInterval)
 	defer t.Stop()
 
 	for {
 		select {
 		case <-t.C:
-			a.SyncAll(c)
+			r.SyncAll(c)
 		case <-c.Done():
 			return
 		}
@@ -101,18 +101,18 @@
 }
 
 // remoteHome returns the home of a cell, or false if it is this router or there is none.
-func (a *Requester) remoteHome(x *matcher.Cell) (gossiper.Member, bool) {
-	h, ok := a.members.Home(uint64(x.ID), x.DataCentres)
+func (r *Requester) remoteHome(x *matcher.Cell) (gossiper.Member, bool) {
+	h, ok := r.members.Home(uint64(x.ID), x.DataCentres)
 
-	return h, ok && h.ID != a.members.Self().ID
+	return h, ok && h.ID != r.members.Self().ID
 }
 
 // entry returns the state of a cell and creates it if there is none.
-func (a *Requester) entry(x *matcher.Cell) *cell {
-	e, ok := a.cells[x.ID]
+func (r *Requester) entry(x *matcher.Cell) *cell {
+	e, ok := r.cells[x.ID]
 	if !ok {
 		e = &cell{grants: make(map[uint32]wire.Grant)}
-		a.cells[x.ID] = e
+		r.cells[x.ID] = e
 	}
 
 	e.cell = x
--- a/internal/requester/requester_test.go
+++ b/internal/requester/requester_test.go
@@ -114,7 +114,7 @@
 	n.released[self] = append(n.released[self], w)
 }
 
-func (n *network) BackOff(time.Time, wire.Backoff) {}
+func (n *network) StartBackoff(time.Time, wire.Backoff) {}
 
 func (n *network) Report(_ time.Time, w wire.Report) {
 	n.reports[self] = append(n.reports[self], w)
--- a/internal/requester/reserve.go
+++ b/internal/requester/reserve.go
@@ -34,7 +34,7 @@
 	Excluded []uint32
 	// Waited is how long the call has waited for a slot at the target of its placement.
 	Waited time.Duration
-	// Forwarded reports that the home of another cell forwarded the request to this cell.
+	// Forwarded reports whether the home of another cell forwarded the request to this cell.
 	Forwarded bool
 }
 
@@ -49,7 +49,7 @@
 
 	cell *matcher.Cell
 	seq  uint32
-	// reportDue says that the home requested a load report.
+	// reportDue reports whether the home requested a load report.
 	reportDue bool
 }
 
@@ -57,23 +57,23 @@
 // slots there). If the home can't be reached, it tries the next one, and finally decides
 // locally by this router's own knowledge: its own calls and the targets' load reports. It
 // fails with ErrNoSlot.
-func (a *Requester) Reserve(c context.Context, r Request) (Reservation, error) {
-	w := a.newAsk(r)
-	defer a.finishAsk(w.Seq)
+func (r *Requester) Reserve(c context.Context, q Request) (Reservation, error) {
+	w := r.newRequest(q)
+	defer r.finishRequest(w.Seq)
 
 	for range homeAttempts {
-		h, ok := a.remoteHome(r.Cell)
+		h, ok := r.remoteHome(q.Cell)
 		if !ok {
-			return a.reserveLocally(c, r, w)
+			return r.reserveLocally(c, q, w)
 		}
 
-		a.setHome(c, r.Cell, h)
+		r.setHome(c, q.Cell, h)
 
 		b := time.Now()
 
-		v, err := a.requestHome(c, h, w)
+		v, err := r.requestHome(c, h, w)
 		if err == nil {
-			return a.record(r, w, v), nil
+			return r.record(q, w, v), nil
 		}
 
 		if c.Err() != nil {
@@ -87,77 +87,77 @@
 			break
 		}
 
-		a.counter.Add(counter.HomeRequestsFailed, 1)
+		r.counter.Add(counter.HomeRequestsFailed, 1)
 		logrus.WithFields(logrus.Fields{"event": "askFailed", "peer": h.Address, "error": err}).Warn()
-		a.suspect(h, b, err)
+		r.suspect(h, b, err)
 	}
 
-	a.counter.Add(counter.DecidedLocally, 1)
+	r.counter.Add(counter.DecidedLocally, 1)
 
-	return a.reserveLocally(c, r, w)
+	return r.reserveLocally(c, q, w)
 }
 
 // reserveLocally decides at this router, whether it is the cell's home or not.
-func (a *Requester) reserveLocally(c context.Context, r Request, w wire.SlotRequest) (Reservation, error) {
-	a.setHome(c, r.Cell, a.members.Self())
+func (r *Requester) reserveLocally(c context.Context, q Request, w wire.SlotRequest) (Reservation, error) {
+	r.setHome(c, q.Cell, r.members.Self())
 
-	v, err := a.supervisor.Reserve(time.Now(), a.members.Self().ID, w)
+	v, err := r.supervisor.Reserve(time.Now(), r.members.Self().ID, w)
 	if err != nil {
 		return Reservation{}, errors.Mark(err, ErrNoSlot)
 	}
 
-	return a.record(r, w, v), nil
+	return r.record(q, w, v), nil
 }
 
-// newAsk assigns the next sequence number to a request, which is pending until finishAsk.
-func (a *Requester) newAsk(r Request) wire.SlotRequest {
-	a.mu.Lock()
-	defer a.mu.Unlock()
+// newRequest assigns the next sequence number to a request, which is pending until finishRequest.
+func (r *Requester) newRequest(q Request) wire.SlotRequest {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 
-	a.seq++
-	a.pending[a.seq] = true
+	r.seq++
+	r.pending[r.seq] = true
 
 	return wire.SlotRequest{
-		Seq: a.seq, Cell: r.Cell.ID, Rule: r.Rule, Customer: r.Customer, Chat: r.Chat, Prompt: clamp(r.Prompt),
-		Hint: r.Hint, Excluded: r.Excluded, WaitedMs: clamp(int(r.Waited.Milliseconds())),
-		Forwarded: r.Forwarded,
+		Seq: r.seq, Cell: q.Cell.ID, Rule: q.Rule, Customer: q.Customer, Chat: q.Chat, Prompt: clamp(q.Prompt),
+		Hint: q.Hint, Excluded: q.Excluded, WaitedMs: clamp(int(q.Waited.Milliseconds())),
+		Forwarded: q.Forwarded,
 	}
 }
 
-func (a *Requester) finishAsk(seq uint32) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
+func (r *Requester) finishRequest(seq uint32) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 
-	delete(a.pending, seq)
+	delete(r.pending, seq)
 }
 
 // requestHome sends a request to another router within the time-out of one request.
-func (a *Requester) requestHome(c context.Context, h gossiper.Member, w wire.SlotRequest) (wire.SlotReply, error) {
-	x, stop := context.WithTimeout(c, a.timeout)
+func (r *Requester) requestHome(c context.Context, h gossiper.Member, w wire.SlotRequest) (wire.SlotReply, error) {
+	x, stop := context.WithTimeout(c, r.timeout)
 	defer stop()
 
 	var v wire.SlotReply
 
-	err := a.peers.Call(x, h.Address, wire.KindSlotRequest, &w, &v)
+	err := r.peers.Call(x, h.Address, wire.KindSlotRequest, &w, &v)
 
 	return v, err
 }
 
 // record converts a verdict and, if it is a grant, adds it to this router's grants.
-func (a *Requester) record(r Request, w wire.SlotRequest, v wire.SlotReply) Reservation {
+func (r *Requester) record(q Request, w wire.SlotRequest, v wire.SlotReply) Reservation {
 	p := Reservation{
 		Reason: granter.Reason(v.Reason), Target: v.Target, Returned: v.Flags&wire.FlagReturned != 0, reportDue: v.Flags&wire.FlagReportDue != 0,
-		RetryAfter: time.Duration(v.RetryAfterMs) * time.Millisecond, cell: r.Cell, seq: w.Seq,
+		RetryAfter: time.Duration(v.RetryAfterMs) * time.Millisecond, cell: q.Cell, seq: w.Seq,
 	}
 
 	if p.Reason != granter.Granted {
 		return p
 	}
 
-	a.mu.Lock()
-	defer a.mu.Unlock()
+	r.mu.Lock()
+	defer r.mu.Unlock()
 
-	a.entry(r.Cell).grants[w.Seq] = wire.Grant{Seq: w.Seq, Target: v.Target, Customer: w.Customer}
+	r.entry(q.Cell).grants[w.Seq] = wire.Grant{Seq: w.Seq, Target: v.Target, Customer: w.Customer}
 
 	return p
 }
--- a/internal/reserver/reserver.go
+++ b/internal/reserver/reserver.go
@@ -126,8 +126,8 @@
 	r.send(h, wire.KindOccupancy, &o)
 }
 
-// Forget drops the counts of the targets that are not in a changed registry.
-func (r *Reserver) Forget(l *discoverer.Registry) {
+// Prune drops the counts of the targets that are not in a changed registry.
+func (r *Reserver) Prune(l *discoverer.Registry) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
@@ -207,7 +207,7 @@
 // wait for the time-out.
 func (r *Reserver) request(c context.Context, h gossiper.Member, q aggregator.Request) aggregator.Verdict {
 	type reply struct {
-		room wire.ReserveReply
+		slot wire.ReserveReply
 		err  error
 	}
 
@@ -226,7 +226,7 @@
 	go func() {
 		var o reply
 
-		o.err = r.messenger.Call(x, h.Address, wire.KindReserve, &w, &o.room)
+		o.err = r.messenger.Call(x, h.Address, wire.KindReserve, &w, &o.slot)
 		l <- o
 	}()
 
@@ -239,13 +239,13 @@
 
 	switch {
 	case c.Err() != nil:
-		return aggregator.Verdict{} // The caller disconnected, which says nothing about the home.
+		return aggregator.Verdict{} // The caller disconnected, which is no evidence on the home.
 	case o.err != nil:
 		r.markSilent(h, o.err)
 
 		return aggregator.Verdict{}
 	default:
-		return aggregator.Verdict{Outcome: aggregator.Outcome(o.room.Outcome), Calls: int(o.room.Calls), Latency: fraction(o.room.Latency)}
+		return aggregator.Verdict{Outcome: aggregator.Outcome(o.slot.Outcome), Calls: int(o.slot.Calls), Latency: fraction(o.slot.Latency)}
 	}
 }
 
--- a/internal/reserver/reserver_test.go
+++ b/internal/reserver/reserver_test.go
@@ -157,7 +157,7 @@
 				c, _ = f.instances[0].Reserve(t.Context(), x, request(2))
 				i.Equal(c.Outcome, aggregator.Full)
 
-				f.instances[home].Forget(discoverer.New(discoverer.DefaultSettings()).Registry())
+				f.instances[home].Prune(discoverer.New(discoverer.DefaultSettings()).Registry())
 
 				c, _ = f.instances[0].Reserve(t.Context(), x, request(2))
 				i.Equal(c.Outcome, aggregator.Granted)
@@ -210,7 +210,7 @@
 }
 
 // Guards against an instance that gets a slot at a target whose calls from other instances failed, or
-// that is not told the target's latency.
+// that does not receive the target's latency.
 func TestInstancesShareHealthStatus(t *testing.T) {
 	for name, home := range map[string]int{"third instance": 2, "requesting instance": 0} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/router/backoff_test.go
+++ b/internal/router/backoff_test.go
@@ -13,7 +13,7 @@
 	"github.com/auburntray/auburntray/internal/standin/waiter"
 )
 
-// addBackoffServices adds services that refuse each call and ask for a backoff in seconds. It
+// addBackoffServices adds services that refuse each call and request a backoff in seconds. It
 // returns the counter of calls to them.
 func (f *fleet) addBackoffServices(n int, backoff string) *atomic.Int64 {
 	var calls atomic.Int64
@@ -34,7 +34,7 @@
 	return &calls
 }
 
-// Guards against calls from any router to targets during the backoff that they asked for, and
+// Guards against calls from any router to targets during the backoff that they requested, and
 // against a Retry-After for callers that is shorter than the backoff.
 func TestTargetsThatAskForRest(t *testing.T) {
 	for name, others := range map[string]int{"some": 2, "all": 0} {
--- a/internal/router/notifier.go
+++ b/internal/router/notifier.go
@@ -25,43 +25,43 @@
 
 // ReportCellLoad sends a cell's load to the home of another cell of its pool in the background. Lost
 // messages are not repeated, as the next load replaces them.
-func (t notifier) ReportCellLoad(to *matcher.Cell, w wire.CellLoad) {
-	h, ok := t.joiner().Home(uint64(to.ID), to.DataCentres)
+func (n notifier) ReportCellLoad(to *matcher.Cell, w wire.CellLoad) {
+	h, ok := n.joiner().Home(uint64(to.ID), to.DataCentres)
 	if !ok {
 		return
 	}
 
-	if h.ID == t.joiner().Self().ID {
-		t.supervisor().ReportCell(time.Now(), w)
+	if h.ID == n.joiner().Self().ID {
+		n.supervisor().ReportCell(time.Now(), w)
 
 		return
 	}
 
-	go t.send(h, wire.KindCellLoad, &w)
+	go n.send(h, wire.KindCellLoad, &w)
 }
 
 // HandOver sends placements to the cell's home in the background, unless this router is the
 // home.
-func (t notifier) HandOver(cell *matcher.Cell, w wire.HandOver) {
-	h, ok := t.joiner().Home(uint64(cell.ID), cell.DataCentres)
-	if ok && h.ID != t.joiner().Self().ID {
-		go t.send(h, wire.KindHandOver, &w)
+func (n notifier) HandOver(cell *matcher.Cell, w wire.HandOver) {
+	h, ok := n.joiner().Home(uint64(cell.ID), cell.DataCentres)
+	if ok && h.ID != n.joiner().Self().ID {
+		go n.send(h, wire.KindHandOver, &w)
 	}
 }
 
 // Replicate sends placements in the background to the router that becomes the cell's home
 // if this one fails.
-func (t notifier) Replicate(cell *matcher.Cell, w wire.HandOver) {
-	if h, ok := t.joiner().Successor(uint64(cell.ID), cell.DataCentres); ok {
-		go t.send(h, wire.KindHandOver, &w)
+func (n notifier) Replicate(cell *matcher.Cell, w wire.HandOver) {
+	if h, ok := n.joiner().Successor(uint64(cell.ID), cell.DataCentres); ok {
+		go n.send(h, wire.KindHandOver, &w)
 	}
 }
 
-func (t notifier) send(to gossiper.Member, k wire.Kind, m msgp.Marshaler) {
+func (n notifier) send(to gossiper.Member, k wire.Kind, m msgp.Marshaler) {
 	c, stop := context.WithTimeout(context.Background(), sendTimeout)
 	defer stop()
 
-	if err := t.messenger.Send(c, to.Address, k, m); err != nil {
+	if err := n.messenger.Send(c, to.Address, k, m); err != nil {
 		logrus.WithFields(logrus.Fields{"event": "tellFailed", "peer": to.Address, "error": err}).Debug()
 	}
 }
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -291,7 +291,7 @@
 // Guards against an outdated configuration in a data centre that cannot reach the platform. Its
 // routers must receive a change from their peers, also a router that starts there, and none
 // may return to an earlier revision when the log is available again.
-func TestAChangeReachesACutOffDataCentre(t *testing.T) {
+func TestAChangeReachesAPartitionedDataCentre(t *testing.T) {
 	i := is.New(t)
 	f := newFleet(t, 1, 0)
 	a, b := f.add("dc-1"), f.add("dc-2")
@@ -472,11 +472,11 @@
 	}
 }
 
-// Guards against failed calls during a network partition: a data centre is cut off from the
+// Guards against failed calls during a network partition: a data centre is partitioned from the
 // other one and from the platform. Each side must continue to serve with its own engine and its
 // current configuration. A change made meanwhile is applied when the partition ends, and no
 // router returns to an earlier revision.
-func TestACutOffDataCentreServesOn(t *testing.T) {
+func TestAPartitionedDataCentreContinuesToServe(t *testing.T) {
 	i := is.New(t)
 	f := newFleet(t, 2, 0)
 	f.moveTarget("e1", "dc-2")
--- a/internal/selector/backoff_replay_test.go
+++ b/internal/selector/backoff_replay_test.go
@@ -12,9 +12,9 @@
 	"github.com/auburntray/auburntray/internal/selector"
 )
 
-// backoffReplay simulates engines of which some refuse all calls and ask for a backoff each time.
+// backoffReplay simulates engines of which a part refuses all calls and requests a backoff each time.
 type backoffReplay struct {
-	roster    *discoverer.Registry
+	registry  *discoverer.Registry
 	instances []*selector.Selector
 	refusing  map[string]bool
 	// until is when the backoff between an instance and an engine expires.
@@ -33,11 +33,11 @@
 	c := s.instances[instance]
 
 	for range 2 {
-		x, ok := c.Choose(now, s.roster, group, q)
+		x, ok := c.Choose(now, s.registry, group, q)
 		if !ok {
 			s.refused++
 
-			if d, ok := c.GroupBackoff(now, s.roster, group, q); !ok || d <= 0 || d > backoff {
+			if d, ok := c.GroupBackoff(now, s.registry, group, q); !ok || d <= 0 || d > backoff {
 				s.wrongWait++
 			}
 
@@ -54,7 +54,7 @@
 		if !s.refusing[x.Target.ID] {
 			s.served++
 
-			c.Answered(now, x.Target)
+			c.RecordAnswer(now, x.Target)
 			c.Finish(now, x.Target, selector.Answered)
 
 			return
@@ -86,7 +86,7 @@
 			i := is.New(t)
 			r := rand.New(rand.NewPCG(1, 2))
 			s := &backoffReplay{
-				roster: registry(engines, "a", "b"), refusing: make(map[string]bool), until: make(map[string]time.Time),
+				registry: registry(engines, "a", "b"), refusing: make(map[string]bool), until: make(map[string]time.Time),
 				early: make(map[string]int),
 			}
 
@@ -94,7 +94,7 @@
 				s.instances = append(s.instances, selector.New(selector.DefaultSettings()))
 			}
 
-			for _, x := range s.roster.Groups[group][:refusing] {
+			for _, x := range s.registry.Groups[group][:refusing] {
 				s.refusing[x.ID] = true
 			}
 
@@ -128,7 +128,7 @@
 
 	i := is.New(t)
 	s := &backoffReplay{
-		roster: registry(1, "a"), refusing: map[string]bool{"t0": true}, until: make(map[string]time.Time),
+		registry: registry(1, "a"), refusing: map[string]bool{"t0": true}, until: make(map[string]time.Time),
 		early: make(map[string]int),
 	}
 
@@ -147,7 +147,7 @@
 
 	// No probe call is answered yet.
 	for n := range 50 * instances {
-		if x, ok := s.instances[n%instances].Choose(end, s.roster, group, query(uint64(n+1))); ok {
+		if x, ok := s.instances[n%instances].Choose(end, s.registry, group, query(uint64(n+1))); ok {
 			s.instances[n%instances].Start(end, x.Target)
 
 			sent++
--- a/internal/selector/bench_test.go
+++ b/internal/selector/bench_test.go
@@ -12,7 +12,7 @@
 	for name, n := range map[string]int{"9": 9, "60": 60, "600": 600} {
 		b.Run(name, func(b *testing.B) {
 			r := registry(n, "a", "b", "c", "d")
-			c := selector.New(selector.DefaultSettings())
+			s := selector.New(selector.DefaultSettings())
 			now := time.Unix(0, 0)
 			k := uint64(0)
 
@@ -21,9 +21,9 @@
 			for b.Loop() {
 				k++
 				now = now.Add(time.Millisecond)
-				o := choose(c, now, r, query(k%1000+1))
-				c.ObservePace(now, o.Target, 0.1)
-				c.Finish(now, o.Target, selector.Answered)
+				o := choose(s, now, r, query(k%1000+1))
+				s.ObserveLatency(now, o.Target, 0.1)
+				s.Finish(now, o.Target, selector.Answered)
 			}
 		})
 	}
--- a/internal/selector/candidate.go
+++ b/internal/selector/candidate.go
@@ -20,7 +20,7 @@
 }
 
 // candidates returns the targets of a list that the call may be sent to and was not sent to before.
-func (c *Selector) candidates(now time.Time, r *discoverer.Registry, l []*discoverer.Target, q *Query) []candidate {
+func (s *Selector) candidates(now time.Time, r *discoverer.Registry, l []*discoverer.Target, q *Query) []candidate {
 	o := make([]candidate, 0, len(l))
 
 	for _, t := range l {
@@ -30,9 +30,9 @@
 
 		x := candidate{target: t, cold: q.cold(now, r, t)}
 
-		if s, ok := c.states[t.Key()]; ok {
-			x.load = s.load(now)
-			x.shed = now.Sub(s.shedAt) < shedAvoidance
+		if p, ok := s.states[t.Key()]; ok {
+			x.load = p.load(now)
+			x.shed = now.Sub(p.shedAt) < shedAvoidance
 		}
 
 		o = append(o, x)
--- a/internal/selector/cold.go
+++ b/internal/selector/cold.go
@@ -8,7 +8,7 @@
 	"github.com/auburntray/auburntray/internal/discoverer"
 )
 
-// cold reports whether a target can only serve a low rate of calls: because its entry says so, or because its
+// cold reports whether a target can only serve a low rate of calls: because its entry states so, or because its
 // data centre was reopened recently and the target's updated entry may not have been read yet.
 func (q *Query) cold(now time.Time, r *discoverer.Registry, t *discoverer.Target) bool {
 	if q.ColdRate <= 0 {
@@ -21,22 +21,22 @@
 // admissible returns the candidates that a call may be sent to: the warm ones, and the cold ones within this
 // instance's share of their rate. Other cold ones are omitted even if no candidate remains, because a cold
 // target that is sent too many calls crashes and loses all of them.
-func (c *Selector) admissible(now time.Time, l []candidate, q *Query) []candidate {
+func (s *Selector) admissible(now time.Time, l []candidate, q *Query) []candidate {
 	if !slices.ContainsFunc(l, func(x candidate) bool { return x.cold }) {
 		return l
 	}
 
-	f := sync.OnceValue(c.fleet)
+	f := sync.OnceValue(s.fleet)
 
 	return filter(l, func(x candidate) bool {
-		return !x.cold || c.throttler.Allow(now, x.target.Key(), q.ColdRate, f)
+		return !x.cold || s.throttler.Allow(now, x.target.Key(), q.ColdRate, f)
 	})
 }
 
 // loadBaseline returns the candidates that count for the mean load: all that are reachable, including cold
 // ones and those in a backoff. If none is reachable, it returns those that are tried as a last resort.
-func (c *Selector) loadBaseline(now time.Time, tried, all []candidate) []candidate {
-	if l := c.health.reachable(now, all); len(l) > 0 {
+func (s *Selector) loadBaseline(now time.Time, tried, all []candidate) []candidate {
+	if l := s.health.reachable(now, all); len(l) > 0 {
 		return l
 	}
 
@@ -45,10 +45,10 @@
 
 // recordSent counts a call to a target that is cold or recovers from a backoff. At a cold target the call
 // counts even if the home instance of the target declines it afterwards.
-func (c *Selector) recordSent(now time.Time, x candidate) {
+func (s *Selector) recordSent(now time.Time, x candidate) {
 	if x.cold {
-		c.throttler.RecordSent(now, x.target.Key())
+		s.throttler.RecordSent(now, x.target.Key())
 	}
 
-	c.suppressor.Sent(now, x.target.Key())
+	s.suppressor.RecordSent(now, x.target.Key())
 }
--- a/internal/selector/cold_replay_test.go
+++ b/internal/selector/cold_replay_test.go
@@ -22,8 +22,8 @@
 
 // instance is a simulated instance.
 type instance struct {
-	chooser *selector.Selector
-	fleet   throttler.Fleet
+	selector *selector.Selector
+	fleet    throttler.Fleet
 }
 
 // fleetOf returns instances in groups of the given sizes. Each instance only knows the others of its group.
@@ -38,10 +38,10 @@
 
 		for _, id := range live {
 			x := &instance{
-				chooser: selector.New(selector.DefaultSettings()),
-				fleet:   throttler.Fleet{Self: id, Live: live, MaxInstances: most, Settled: true},
+				selector: selector.New(selector.DefaultSettings()),
+				fleet:    throttler.Fleet{Self: id, Live: live, MaxInstances: most, Settled: true},
 			}
-			x.chooser.Throttle(throttler.Settings{Coverage: 1.5, Slack: 5}, func() throttler.Fleet { return x.fleet })
+			x.selector.Throttle(throttler.Settings{Coverage: 1.5, Slack: 5}, func() throttler.Fleet { return x.fleet })
 			o = append(o, x)
 		}
 	}
@@ -119,7 +119,7 @@
 	const gap = time.Second / (usualRate * surge)
 	for now := start; now.Before(start.Add(coldFor)); now = now.Add(gap) {
 		for len(calls) > 0 && !calls[0].ends.After(now) {
-			calls[0].from.chooser.Finish(now, calls[0].target, selector.Answered)
+			calls[0].from.selector.Finish(now, calls[0].target, selector.Answered)
 			running[calls[0].target.ID]--
 			calls = calls[1:]
 		}
@@ -131,21 +131,21 @@
 
 		from := l[x.IntN(len(l))]
 		for id, t := range r.Known {
-			from.chooser.ReportLoad(now, t, selector.LoadReport{Running: running[id], Slots: t.Slots})
+			from.selector.ReportLoad(now, t, selector.LoadReport{Running: running[id], Slots: t.Slots})
 		}
 
 		q := query(k)
 		q.ColdRate, q.ColdFor = coldRate, coldFor
 		all++
 
-		c, ok := from.chooser.Choose(now, r, group, q)
+		c, ok := from.selector.Choose(now, r, group, q)
 		if !ok {
 			continue
 		}
 
 		found++
 
-		from.chooser.Start(now, c.Target)
+		from.selector.Start(now, c.Target)
 		running[c.Target.ID]++
 		calls = append(calls, call{from, c.Target, now.Add(time.Second)})
 
@@ -187,24 +187,24 @@
 func TestBoundWithoutReachableTargets(t *testing.T) {
 	i := is.New(t)
 	now := time.Unix(1000, 0)
-	e := discoverer.New(discoverer.DefaultSettings())
-	c := selector.New(selector.DefaultSettings())
-	c.Throttle(throttler.Settings{Coverage: 1}, func() throttler.Fleet { return throttler.Fleet{} })
+	d := discoverer.New(discoverer.DefaultSettings())
+	s := selector.New(selector.DefaultSettings())
+	s.Throttle(throttler.Settings{Coverage: 1}, func() throttler.Fleet { return throttler.Fleet{} })
 
 	for id, cold := range map[string]time.Duration{"warm": 0, "cold": time.Minute} {
-		e.Set(discoverer.Target{ID: id, Group: group, DataCentre: "a", Slots: 8, Cold: cold}.WithReadTime(now, nil))
+		d.Set(discoverer.Target{ID: id, Group: group, DataCentre: "a", Slots: 8, Cold: cold}.WithReadTime(now, nil))
 	}
 
-	r := e.Registry()
+	r := d.Registry()
 	for _, x := range r.Known {
-		c.Start(now, x)
-		c.Finish(now, x, selector.Unreachable)
+		s.Start(now, x)
+		s.Finish(now, x, selector.Unreachable)
 	}
 
 	q := query(1)
 	q.ColdRate, q.ColdFor = coldRate, coldFor
 
-	o, ok := c.Choose(now, r, group, q)
+	o, ok := s.Choose(now, r, group, q)
 	i.True(ok) // One call probes whether that has changed.
 	i.Equal(o.Target.ID, "warm")
 	i.True(o.Bound < 10)
--- a/internal/selector/decline_test.go
+++ b/internal/selector/decline_test.go
@@ -15,18 +15,18 @@
 func TestDeclinedChoiceIsReverted(t *testing.T) {
 	i := is.New(t)
 	r := registry(9, "a")
-	c := selector.New(selector.DefaultSettings())
+	s := selector.New(selector.DefaultSettings())
 	now := time.Unix(0, 0)
 
-	x := choose(c, now, r, query(1))
-	c.Decline(now, x, 12)
+	x := choose(s, now, r, query(1))
+	s.Decline(now, x, 12)
 
-	n := c.PendingUpdate()
+	n := s.PendingUpdate()
 	i.Equal(len(n.Placements), 0)
 	i.Equal(len(n.Loads), 1)
 	i.Equal(n.Loads[0].Calls, 12)
 
-	y := choose(c, now, r, query(1))
+	y := choose(s, now, r, query(1))
 	i.True(y.Target != x.Target)
 	i.True(!y.Cached)
 
@@ -36,47 +36,47 @@
 	i.Equal(choose(d, now, r, query(1)), y)
 
 	// A target that had the prompt cached before remains a holder.
-	c.Finish(now, y.Target, selector.Answered)
-	z := choose(c, now.Add(time.Second), r, query(1))
+	s.Finish(now, y.Target, selector.Answered)
+	z := choose(s, now.Add(time.Second), r, query(1))
 	i.Equal(z.Target, y.Target)
 	i.True(z.Cached)
-	c.Decline(now.Add(time.Second), z, 12)
+	s.Decline(now.Add(time.Second), z, 12)
 
-	z = choose(c, now.Add(4*time.Second), r, query(1))
+	z = choose(s, now.Add(4*time.Second), r, query(1))
 	i.Equal(z.Target, y.Target)
 	i.True(z.Cached)
 }
 
-// Guards against a prompt of some thousand parts being computed twice although a target has it cached: a call
+// Guards against a prompt of a few thousand parts being computed twice although a target has it cached: a call
 // failed at once at another target, and the next target tried to fetch the prompt from that one, since the
 // prompt was last sent there.
 func TestFailedTargetIsNoSource(t *testing.T) {
 	i := is.New(t)
 	r := registry(9, "a")
-	c := selector.New(selector.DefaultSettings())
+	s := selector.New(selector.DefaultSettings())
 	now := time.Unix(0, 0)
 
-	x := choose(c, now, r, query(1))
-	c.Finish(now, x.Target, selector.Answered)
+	x := choose(s, now, r, query(1))
+	s.Finish(now, x.Target, selector.Answered)
 
 	q := query(1)
 	q.Excluded = []string{x.Target.ID}
-	y := choose(c, now, r, q)
+	y := choose(s, now, r, q)
 	i.Equal(y.Source, x.Target)
-	c.Finish(now, y.Target, selector.Failed)
-	c.RevertPlacements(y)
+	s.Finish(now, y.Target, selector.Failed)
+	s.RevertPlacements(y)
 
 	q.Excluded = []string{x.Target.ID, y.Target.ID}
-	z := choose(c, now, r, q)
+	z := choose(s, now, r, q)
 	i.Equal(z.Source, x.Target)
 
 	// A target that had the prompt cached before remains a holder.
 	q.Excluded = []string{y.Target.ID, z.Target.ID}
-	x = choose(c, now, r, q)
+	x = choose(s, now, r, q)
 	i.True(x.Cached)
-	c.Finish(now, x.Target, selector.Failed)
-	c.RevertPlacements(x)
-	i.True(choose(c, now, r, q).Cached)
+	s.Finish(now, x.Target, selector.Failed)
+	s.RevertPlacements(x)
+	i.True(choose(s, now, r, q).Cached)
 }
 
 // A prompt that a tenth of all calls share fills one target after the other. Guards against all calls that
@@ -95,10 +95,10 @@
 			seen := make(map[string]bool)
 
 			for n := range uint64(400) {
-				c := selector.New(selector.DefaultSettings())
+				s := selector.New(selector.DefaultSettings())
 				q := query(1)
 				q.Declined, q.Draw = tc.declined, n
-				seen[choose(c, time.Unix(0, 0), r, q).Target.ID] = true
+				seen[choose(s, time.Unix(0, 0), r, q).Target.ID] = true
 			}
 
 			i.Equal(len(seen), tc.targets)
@@ -114,8 +114,8 @@
 	seen := make(map[string]int)
 
 	for n := range uint64(500) {
-		c := selector.New(selector.DefaultSettings())
-		o, ok := c.Choose(time.Unix(0, 0), r, group, selector.Query{DataCentre: "a", Draw: n})
+		s := selector.New(selector.DefaultSettings())
+		o, ok := s.Choose(time.Unix(0, 0), r, group, selector.Query{DataCentre: "a", Draw: n})
 		i.True(ok)
 
 		seen[o.Target.ID]++
--- a/internal/selector/departure.go
+++ b/internal/selector/departure.go
@@ -23,8 +23,8 @@
 	at     time.Time
 }
 
-// departures are the processes that were recently removed from the registry and are assumed to be serving
-// still. They are assigned no calls, but other targets may fetch prompts from them.
+// departures are the processes that were recently removed from the registry and are assumed to be still
+// serving. They are assigned no calls, but other targets may fetch prompts from them.
 //
 // Some targets never announce that they are leaving. Their chats move to other targets at once, all of which
 // would compute the whole prompts again while the target that has them cached is still running.
@@ -32,8 +32,8 @@
 
 // add records a process that was removed from the registry, with the time of its last load report. A process
 // whose target is listed with another start has ended and is not recorded.
-func (l departures) add(now time.Time, r *discoverer.Registry, t *discoverer.Target, heard time.Time) {
-	if r.Known[t.ID] == nil && now.Sub(heard) < maxReportAge {
+func (l departures) add(now time.Time, r *discoverer.Registry, t *discoverer.Target, reportedAt time.Time) {
+	if r.Known[t.ID] == nil && now.Sub(reportedAt) < maxReportAge {
 		l[t.Key()] = departure{target: t, at: now}
 	}
 }
--- a/internal/selector/departure_test.go
+++ b/internal/selector/departure_test.go
@@ -11,18 +11,18 @@
 )
 
 // Guards against slow answers for returning chats during a release: engines that never announce that they are
-// leaving vanish from the registry but serve for seconds more, and what they have cached would be computed
-// again elsewhere. An engine that crashed vanishes too, seconds after its last load report; no call may wait
+// leaving are removed from the registry but serve for seconds more, and what they have cached would be computed
+// again elsewhere. An engine that crashed is removed too, seconds after its last load report; no call may wait
 // for it.
 func TestPromptOfDepartedTarget(t *testing.T) {
-	const reported = time.Hour // The time of the last load report from the target that leaves.
+	const reported = time.Hour // The time of the last load report from the target that is removed.
 
 	for name, x := range map[string]struct {
 		// removed is the time from the last load report to the removal from the registry, and requested the
 		// time from there to a call with its prompt.
 		removed, requested time.Duration
 		// change is a further change of the registry.
-		change func(e *discoverer.Discoverer)
+		change func(d *discoverer.Discoverer)
 		// failed makes the target unreachable before its removal.
 		failed bool
 		want   bool
@@ -32,39 +32,39 @@
 		"long ago":              {removed: 100 * time.Millisecond, requested: 4 * time.Second},
 		"no recent load report": {removed: 3 * time.Second},
 		"was unreachable":       {removed: 100 * time.Millisecond, failed: true},
-		"listed, restarted": {removed: 100 * time.Millisecond, change: func(e *discoverer.Discoverer) {
-			e.Set(discoverer.Target{ID: "old", Group: "other", Start: time.Unix(9, 0)})
+		"listed, restarted": {removed: 100 * time.Millisecond, change: func(d *discoverer.Discoverer) {
+			d.Set(discoverer.Target{ID: "old", Group: "other", Start: time.Unix(9, 0)})
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
-			e := discoverer.New(discoverer.DefaultSettings())
+			d := discoverer.New(discoverer.DefaultSettings())
 			now := time.Unix(0, 0).Add(reported)
-			e.Set(discoverer.Target{ID: "old", Group: group, Slots: 8})
+			d.Set(discoverer.Target{ID: "old", Group: group, Slots: 8})
 
-			c := selector.New(selector.DefaultSettings())
-			c.ApplyRegistry(now, e.Registry())
+			s := selector.New(selector.DefaultSettings())
+			s.ApplyRegistry(now, d.Registry())
 
-			o := choose(c, now, e.Registry(), query(7))
-			c.ReportLoad(now, o.Target, selector.LoadReport{Running: 1, Slots: 8})
+			o := choose(s, now, d.Registry(), query(7))
+			s.ReportLoad(now, o.Target, selector.LoadReport{Running: 1, Slots: 8})
 
 			if x.failed {
-				c.Finish(now, o.Target, selector.Unreachable)
+				s.Finish(now, o.Target, selector.Unreachable)
 			} else {
-				c.Finish(now, o.Target, selector.Answered)
+				s.Finish(now, o.Target, selector.Answered)
 			}
 
 			now = now.Add(x.removed)
-			e.Set(discoverer.Target{ID: "new", Group: group, Slots: 8})
-			e.Remove(now, "old")
+			d.Set(discoverer.Target{ID: "new", Group: group, Slots: 8})
+			d.Remove(now, "old")
 
 			if x.change != nil {
-				x.change(e)
+				x.change(d)
 			}
 
-			c.ApplyRegistry(now, e.Registry())
+			s.ApplyRegistry(now, d.Registry())
 
-			o = choose(c, now.Add(x.requested), e.Registry(), query(7))
+			o = choose(s, now.Add(x.requested), d.Registry(), query(7))
 			i.Equal(o.Target.ID, "new")
 			i.Equal(o.Source != nil, x.want)
 		})
--- a/internal/selector/evacuation_replay_test.go
+++ b/internal/selector/evacuation_replay_test.go
@@ -22,7 +22,7 @@
 // enginesOf returns a registry of engines in four data centres. Every n-th has just started and is cold for
 // the given time.
 func enginesOf(now time.Time, every int, cold time.Duration) *discoverer.Registry {
-	e := discoverer.New(discoverer.DefaultSettings())
+	d := discoverer.New(discoverer.DefaultSettings())
 
 	for k := range engines {
 		t := discoverer.Target{ID: fmt.Sprintf("t%d", k), Group: group, DataCentre: fmt.Sprintf("dc%d", k/15), Slots: 32}
@@ -30,10 +30,10 @@
 			t.Cold = cold
 		}
 
-		e.Set(t.WithReadTime(now, nil))
+		d.Set(t.WithReadTime(now, nil))
 	}
 
-	return e.Registry()
+	return d.Registry()
 }
 
 // Guards against overload and lost prompts when a data centre is evacuated at twice the usual load: its calls
@@ -52,7 +52,7 @@
 	start := time.Unix(1000, 0)
 	r := enginesOf(start, engines+1, 0)
 	x := rand.New(rand.NewPCG(1, 2))
-	c := selector.New(selector.DefaultSettings())
+	s := selector.New(selector.DefaultSettings())
 	running := make(map[string]int)
 
 	type call struct {
@@ -70,11 +70,11 @@
 
 		if closed && len(r.Closed) == 0 {
 			r = r.WithEvacuated(func(centre string) bool { return centre == "dc1" }, nil)
-			c.ApplyRegistry(now, r)
+			s.ApplyRegistry(now, r)
 		}
 
 		for len(calls) > 0 && !calls[0].ends.After(now) {
-			c.Finish(now, calls[0].target, selector.Answered)
+			s.Finish(now, calls[0].target, selector.Answered)
 			running[calls[0].target.ID]--
 			calls = calls[1:]
 		}
@@ -84,8 +84,8 @@
 			p = 1
 		}
 
-		o := choose(c, now, r, query(p))
-		c.ConfirmPlacements(now, o)
+		o := choose(s, now, r, query(p))
+		s.ConfirmPlacements(now, o)
 		calls = append(calls, call{o.Target, now.Add(time.Second)})
 		running[o.Target.ID]++
 
--- a/internal/selector/exclusion.go
+++ b/internal/selector/exclusion.go
@@ -22,7 +22,7 @@
 	TargetGone Cause = "targetGone"
 	// TargetSlow means that a target's answers begin much later than those of others.
 	TargetSlow Cause = "targetSlow"
-	// TargetBackingOff means that a target asked for a backoff.
+	// TargetBackingOff means that a target requested a backoff.
 	TargetBackingOff Cause = "targetRests"
 )
 
@@ -100,9 +100,9 @@
 	return slices.ContainsFunc(targetCauses, func(c Cause) bool { return h.excluded[exclusionOf(c, t)] })
 }
 
-// cutOff returns a target in each unreachable data centre if fewer than half of the data centres with targets
+// partitionProbes returns a target in each unreachable data centre if fewer than half of the data centres with targets
 // are reachable, and none otherwise.
-func (h *health) cutOff(r *discoverer.Registry) []*discoverer.Target {
+func (h *health) partitionProbes(r *discoverer.Registry) []*discoverer.Target {
 	if len(h.excluded) == 0 {
 		return nil
 	}
--- a/internal/selector/health.go
+++ b/internal/selector/health.go
@@ -13,10 +13,10 @@
 	// be readmitted within seconds, and a probe call that fails costs one retry.
 	maxFailingExclusion = 5 * time.Second
 	// goneExclusion is how long a target is excluded whose address belongs to another process. It exceeds the
-	// time until the entry lapses in the registry: three heartbeats of about a second.
+	// time until the entry expires in the registry: three heartbeats of about a second.
 	goneExclusion = 10 * time.Second
 	// reportedExclusion is how long a home instance's report that a target is unhealthy applies before the
-	// home instance is asked again.
+	// home instance receives the next request.
 	reportedExclusion = 300 * time.Millisecond
 	// lastResortInterval is the interval at which a call is spent on a group without reachable targets. It
 	// bounds how late the end of a network partition is noticed.
@@ -31,8 +31,8 @@
 	// failing tracks targets that are reachable and fail.
 	failing *ejector.Ejector[discoverer.Key]
 	// gone tracks targets whose address belongs to another process.
-	gone  *ejector.Ejector[discoverer.Key]
-	paces *evaluator.Evaluator[discoverer.Key]
+	gone      *ejector.Ejector[discoverer.Key]
+	latencies *evaluator.Evaluator[discoverer.Key]
 	// reportedAt is when a target was last reported as unhealthy by its home instance.
 	reportedAt map[discoverer.Key]time.Time
 	// lastResorts is when a call was last spent on a group without reachable targets.
@@ -47,14 +47,14 @@
 		// A single failed connection is sufficient, since other targets are a millisecond away. A retry costs
 		// a few milliseconds, so the exclusions are short.
 		targets: ejector.New[discoverer.Key](ejector.Settings{Failures: 1, Base: 500 * time.Millisecond, Max: 4 * time.Second, PanicThreshold: 1}),
-		// In a data centre that is cut off, each target would cost a call a dial time-out. Two consecutive
+		// In a partitioned data centre, each target would cost a call a dial time-out. Two consecutive
 		// failures exclude the whole data centre.
 		centres: ejector.New[uint32](ejector.Settings{Failures: 2, Base: 500 * time.Millisecond, Max: 2 * time.Second, PanicThreshold: 1}),
 		failing: ejector.New[discoverer.Key](ejector.Settings{Failures: 3, Base: time.Second, Max: maxFailingExclusion, PanicThreshold: 0.5}),
-		// A replaced process does not return, and its entry lapses seconds later. It is retried in case the
+		// A replaced process does not return, and its entry expires seconds later. It is retried in case the
 		// answer was wrong.
 		gone:        ejector.New[discoverer.Key](ejector.Settings{Failures: 1, Base: goneExclusion, Max: goneExclusion, PanicThreshold: 1}),
-		paces:       evaluator.New[discoverer.Key](),
+		latencies:   evaluator.New[discoverer.Key](),
 		reportedAt:  make(map[discoverer.Key]time.Time),
 		lastResorts: make(map[string]time.Time),
 		excluded:    make(map[exclusion]bool),
@@ -62,7 +62,7 @@
 }
 
 // usable returns the reachable candidates of a group and those of them that may be assigned a call; both are
-// empty if none is reachable. usual is the median pace of the candidates that do not fail.
+// empty if none is reachable. usual is the median latency of the candidates that do not fail.
 func (h *health) usable(now time.Time, group string, l []candidate) (reached, usable []candidate, usual float64) {
 	r := h.reachable(now, l)
 	if len(r) == 0 {
@@ -78,7 +78,7 @@
 
 	r = filterOrAll(r, func(x candidate) bool { return !h.reportedUnhealthy(now, x.target) })
 
-	usual = h.paces.MedianLatency(keys(r))
+	usual = h.latencies.MedianLatency(keys(r))
 
 	return reached, filterOrAll(r, func(x candidate) bool { return !h.slow(now, x.target, usual) }), usual
 }
@@ -117,21 +117,21 @@
 // also records the change of health status.
 func (h *health) slow(now time.Time, t *discoverer.Target, usual float64) bool {
 	n := t.Key()
-	if h.paces.Latency(n) == 0 {
+	if h.latencies.Latency(n) == 0 {
 		return false
 	}
 
-	x := h.paces.Slow(n, usual)
+	x := h.latencies.Slow(n, usual)
 	h.setExcluded(Own, TargetSlow, t, x)
 
-	return x && h.paces.ProbedRecently(now, n)
+	return x && h.latencies.ProbedRecently(now, n)
 }
 
-// observePace records how long an answer took to begin, as a fraction of the time within which it is fully
+// observeLatency records how long an answer took to begin, as a fraction of the time within which it is fully
 // useful.
-func (h *health) observePace(now time.Time, t *discoverer.Target, fraction float64) {
+func (h *health) observeLatency(now time.Time, t *discoverer.Target, fraction float64) {
 	n := t.Key()
-	h.paces.RecordAnswer(n, fraction)
+	h.latencies.RecordAnswer(n, fraction)
 
 	// The beginning of the answer completes a probe call. Waiting for the end of its stream would keep the
 	// target excluded for seconds more.
@@ -144,7 +144,7 @@
 // lastResort returns the targets of a group of which none is reachable: all of them for one call per
 // lastResortInterval, to find out whether that has changed, and none for other calls.
 //
-// In a data centre that is cut off, every call would otherwise dial each target in turn and be refused after a
+// In a partitioned data centre, every call would otherwise dial each target in turn and be refused after a
 // third of a second, when its caller could long have tried another data centre.
 func (h *health) lastResort(now time.Time, group string, l []candidate) []candidate {
 	if t, ok := h.lastResorts[group]; len(l) == 0 || ok && now.Sub(t) < lastResortInterval {
@@ -184,7 +184,7 @@
 	h.targets.StartProbe(now, t.Key())
 	h.centres.StartProbe(now, t.Centre())
 	h.failing.StartProbe(now, t.Key())
-	h.paces.RecordCall(now, t.Key())
+	h.latencies.RecordCall(now, t.Key())
 }
 
 func (h *health) finish(now time.Time, t *discoverer.Target, o Outcome) {
@@ -246,6 +246,6 @@
 	h.targets.Forget(k)
 	h.failing.Forget(k)
 	h.gone.Forget(k)
-	h.paces.Forget(k)
+	h.latencies.Forget(k)
 	delete(h.reportedAt, k)
 }
--- a/internal/selector/outcome.go
+++ b/internal/selector/outcome.go
@@ -17,7 +17,7 @@
 	Shed
 	// Gone means that the target's address belongs to another process.
 	Gone
-	// Inconclusive means that the call says nothing about the target, for example because its caller disconnected.
+	// Inconclusive means that the call is no evidence on the target, for example because its caller disconnected.
 	Inconclusive
 )
 
--- a/internal/selector/process_test.go
+++ b/internal/selector/process_test.go
@@ -25,12 +25,12 @@
 
 // fourTargets returns a registry with four targets.
 func fourTargets() *discoverer.Discoverer {
-	e := discoverer.New(discoverer.DefaultSettings())
+	d := discoverer.New(discoverer.DefaultSettings())
 	for i := range 4 {
-		e.Set(entry(fmt.Sprintf("t%d", i), 0))
+		d.Set(entry(fmt.Sprintf("t%d", i), 0))
 	}
 
-	return e
+	return d
 }
 
 // difference returns the first observable difference between the state of two selectors, and an empty string if
@@ -80,12 +80,12 @@
 
 // observations are ways in which a selector acquires state about a target, by a call of its own or by a
 // notification from another instance.
-func observations() map[string]func(c *selector.Selector, now time.Time, r *discoverer.Registry, t *discoverer.Target) {
+func observations() map[string]func(s *selector.Selector, now time.Time, r *discoverer.Registry, t *discoverer.Target) {
 	finish := func(o selector.Outcome, times int) func(*selector.Selector, time.Time, *discoverer.Registry, *discoverer.Target) {
-		return func(c *selector.Selector, now time.Time, _ *discoverer.Registry, t *discoverer.Target) {
+		return func(s *selector.Selector, now time.Time, _ *discoverer.Registry, t *discoverer.Target) {
 			for range times {
-				c.Start(now, t)
-				c.Finish(now, t, o)
+				s.Start(now, t)
+				s.Finish(now, t, o)
 			}
 		}
 	}
@@ -95,42 +95,42 @@
 		"failing":     finish(selector.Failed, 3),
 		"gone":        finish(selector.Gone, 1),
 		"shed":        finish(selector.Shed, 1),
-		"slow": func(c *selector.Selector, now time.Time, r *discoverer.Registry, t *discoverer.Target) {
+		"slow": func(s *selector.Selector, now time.Time, r *discoverer.Registry, t *discoverer.Target) {
 			for range 4 {
 				for _, x := range r.Known {
 					if x.ID != t.ID {
-						c.ObservePace(now, x, 0.1)
+						s.ObserveLatency(now, x, 0.1)
 					}
 				}
 
-				c.Start(now, t)
-				c.ObservePace(now, t, 3)
-				c.Finish(now, t, selector.Answered)
+				s.Start(now, t)
+				s.ObserveLatency(now, t, 3)
+				s.Finish(now, t, selector.Answered)
 			}
 		},
-		"calls in progress": func(c *selector.Selector, now time.Time, _ *discoverer.Registry, t *discoverer.Target) {
+		"calls in progress": func(s *selector.Selector, now time.Time, _ *discoverer.Registry, t *discoverer.Target) {
 			for range 20 {
-				c.Start(now, t)
+				s.Start(now, t)
 			}
 		},
-		"own load report": func(c *selector.Selector, now time.Time, _ *discoverer.Registry, t *discoverer.Target) {
-			c.ReportLoad(now, t, selector.LoadReport{Running: 40, Slots: 64})
+		"own load report": func(s *selector.Selector, now time.Time, _ *discoverer.Registry, t *discoverer.Target) {
+			s.ReportLoad(now, t, selector.LoadReport{Running: 40, Slots: 64})
 		},
-		"prompts": func(c *selector.Selector, now time.Time, r *discoverer.Registry, t *discoverer.Target) {
+		"prompts": func(s *selector.Selector, now time.Time, r *discoverer.Registry, t *discoverer.Target) {
 			for n := range uint64(60) {
-				c.Choose(now, r, group, selector.Query{Prefixes: query(n).Prefixes, Excluded: others(r, t)})
+				s.Choose(now, r, group, selector.Query{Prefixes: query(n).Prefixes, Excluded: others(r, t)})
 			}
 		},
-		"load report from a peer": func(c *selector.Selector, now time.Time, r *discoverer.Registry, t *discoverer.Target) {
-			c.ApplyUpdate(now, r, selector.Update{Loads: []selector.TargetLoad{{Target: t.Key().Name(), Calls: 40, At: now}}})
+		"load report from a peer": func(s *selector.Selector, now time.Time, r *discoverer.Registry, t *discoverer.Target) {
+			s.ApplyUpdate(now, r, selector.Update{Loads: []selector.TargetLoad{{Target: t.Key().Name(), Calls: 40, At: now}}})
 		},
-		"placements from a peer": func(c *selector.Selector, now time.Time, r *discoverer.Registry, t *discoverer.Target) {
+		"placements from a peer": func(s *selector.Selector, now time.Time, r *discoverer.Registry, t *discoverer.Target) {
 			for n := range uint64(60) {
-				c.ApplyUpdate(now, r, selector.Update{Placements: []selector.Placement{{Key: n, Target: t.Key().Name()}}})
+				s.ApplyUpdate(now, r, selector.Update{Placements: []selector.Placement{{Key: n, Target: t.Key().Name()}}})
 			}
 		},
-		"gone by report of a peer": func(c *selector.Selector, now time.Time, r *discoverer.Registry, t *discoverer.Target) {
-			c.ReportGone(now, r, t.Process())
+		"gone by report of a peer": func(s *selector.Selector, now time.Time, r *discoverer.Registry, t *discoverer.Target) {
+			s.ReportGone(now, r, t.Process())
 		},
 	}
 }
@@ -149,37 +149,37 @@
 }
 
 // restarts are ways in which the registry may show a new process under an ID.
-func restarts() map[string]func(e *discoverer.Discoverer, now time.Time) {
-	return map[string]func(e *discoverer.Discoverer, now time.Time){
-		"later": func(e *discoverer.Discoverer, _ time.Time) { e.Set(entry("t0", time.Minute)) },
-		"after a backward clock step": func(e *discoverer.Discoverer, _ time.Time) {
-			e.Set(entry("t0", -time.Minute))
+func restarts() map[string]func(d *discoverer.Discoverer, now time.Time) {
+	return map[string]func(d *discoverer.Discoverer, now time.Time){
+		"later": func(d *discoverer.Discoverer, _ time.Time) { d.Set(entry("t0", time.Minute)) },
+		"after a backward clock step": func(d *discoverer.Discoverer, _ time.Time) {
+			d.Set(entry("t0", -time.Minute))
 		},
-		"at another address": func(e *discoverer.Discoverer, _ time.Time) {
+		"at another address": func(d *discoverer.Discoverer, _ time.Time) {
 			x := entry("t0", time.Minute)
 			x.Address = netip.MustParseAddrPort("10.0.0.9:80")
-			e.Set(x)
+			d.Set(x)
 		},
-		"by a full reset": func(e *discoverer.Discoverer, now time.Time) {
-			e.Reset(now, []discoverer.Target{entry("t0", time.Minute), entry("t1", 0), entry("t2", 0), entry("t3", 0)})
+		"by a full reset": func(d *discoverer.Discoverer, now time.Time) {
+			d.Reset(now, []discoverer.Target{entry("t0", time.Minute), entry("t1", 0), entry("t2", 0), entry("t3", 0)})
 		},
-		"within the grace period after an outage": func(e *discoverer.Discoverer, now time.Time) {
-			e.RecordOutage(now, time.Minute)
-			e.Remove(now, "t0")
-			e.Set(entry("t0", time.Minute))
-			e.ExpireHeld(now.Add(time.Minute))
+		"within the grace period after an outage": func(d *discoverer.Discoverer, now time.Time) {
+			d.RecordOutage(now, time.Minute)
+			d.Remove(now, "t0")
+			d.Set(entry("t0", time.Minute))
+			d.ExpireHeld(now.Add(time.Minute))
 		},
-		"after the grace period": func(e *discoverer.Discoverer, now time.Time) {
-			e.RecordOutage(now, time.Minute)
-			e.Remove(now, "t0")
-			e.ExpireHeld(now.Add(time.Minute))
-			e.Set(entry("t0", time.Minute))
+		"after the grace period": func(d *discoverer.Discoverer, now time.Time) {
+			d.RecordOutage(now, time.Minute)
+			d.Remove(now, "t0")
+			d.ExpireHeld(now.Add(time.Minute))
+			d.Set(entry("t0", time.Minute))
 		},
 	}
 }
 
 // An engine crashed and restarted under the same ID. Guards against state of the earlier process that is
-// applied to the new one: calls would fetch prompts that it lost, avoid it because of load that is gone, or
+// applied to the new one: calls would fetch prompts that it lost, avoid it because of load that no longer exists, or
 // find it excluded.
 func TestNewProcessHasNoState(t *testing.T) {
 	for name, observe := range observations() {
@@ -187,15 +187,15 @@
 			t.Run(name+", "+how, func(t *testing.T) {
 				is := is.New(t)
 				now := time.Unix(1000, 0)
-				e := fourTargets()
-				c := newSelector()
-				old := e.Registry().Known["t0"]
+				d := fourTargets()
+				s := newSelector()
+				old := d.Registry().Known["t0"]
 
-				observe(c, now, e.Registry(), old)
+				observe(s, now, d.Registry(), old)
 
-				restart(e, now)
-				c.ApplyRegistry(now, e.Registry())
-				is.Equal(difference(now, c, e.Registry(), newSelector(), e.Registry()), "")
+				restart(d, now)
+				s.ApplyRegistry(now, d.Registry())
+				is.Equal(difference(now, s, d.Registry(), newSelector(), d.Registry()), "")
 			})
 		}
 	}
@@ -213,25 +213,25 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			now := time.Unix(1000, 0)
-			e := fourTargets()
-			c := newSelector()
-			old := e.Registry().Known["t0"]
+			d := fourTargets()
+			s := newSelector()
+			old := d.Registry().Known["t0"]
 
 			for range 5 {
-				c.Start(now, old)
+				s.Start(now, old)
 			}
 
-			e.Set(entry("t0", time.Minute))
-			c.ApplyRegistry(now, e.Registry())
-			observe(c, now, e.Registry(), old)
+			d.Set(entry("t0", time.Minute))
+			s.ApplyRegistry(now, d.Registry())
+			observe(s, now, d.Registry(), old)
 
 			for range 5 {
-				is.Equal(c.Views(now, e.Registry()), newSelector().Views(now, e.Registry()))
-				c.Finish(now, old, selector.Failed)
+				is.Equal(s.Views(now, d.Registry()), newSelector().Views(now, d.Registry()))
+				s.Finish(now, old, selector.Failed)
 			}
 
-			is.Equal(difference(now, c, e.Registry(), newSelector(), e.Registry()), "")
-			is.Equal(len(c.PendingUpdate().Loads), 0)
+			is.Equal(difference(now, s, d.Registry(), newSelector(), d.Registry()), "")
+			is.Equal(len(s.PendingUpdate().Loads), 0)
 		})
 	}
 }
@@ -246,30 +246,30 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			now := time.Unix(1000, 0)
-			e := fourTargets()
-			c := newSelector()
-			old := e.Registry().Known["t0"]
+			d := fourTargets()
+			s := newSelector()
+			old := d.Registry().Known["t0"]
 
-			e.Set(entry("t0", time.Minute))
-			c.ApplyRegistry(now, e.Registry())
+			d.Set(entry("t0", time.Minute))
+			s.ApplyRegistry(now, d.Registry())
 
 			for range 3 {
-				c.Start(now, old)
-				c.ObservePace(now, old, 3)
-				c.ReportLoad(now, old, selector.LoadReport{Running: 40, Slots: 64})
-				c.Finish(now, old, o)
+				s.Start(now, old)
+				s.ObserveLatency(now, old, 3)
+				s.ReportLoad(now, old, selector.LoadReport{Running: 40, Slots: 64})
+				s.Finish(now, old, o)
 			}
 
-			is.Equal(len(c.HealthChanges()), 0)
-			is.Equal(len(c.PendingUpdate().Loads), 0)
-			is.Equal(difference(now, c, e.Registry(), newSelector(), e.Registry()), "")
+			is.Equal(len(s.HealthChanges()), 0)
+			is.Equal(len(s.PendingUpdate().Loads), 0)
+			is.Equal(difference(now, s, d.Registry(), newSelector(), d.Registry()), "")
 
 			// The state does not return with the process either.
-			e.Set(entry("t0", 0))
-			c.ApplyRegistry(now, e.Registry())
-			is.Equal(c.Views(now, e.Registry()), newSelector().Views(now, e.Registry()))
+			d.Set(entry("t0", 0))
+			s.ApplyRegistry(now, d.Registry())
+			is.Equal(s.Views(now, d.Registry()), newSelector().Views(now, d.Registry()))
 
-			x, ok := c.Choose(now, e.Registry(), group, query(1000))
+			x, ok := s.Choose(now, d.Registry(), group, query(1000))
 			is.True(ok)
 			is.Equal(x.Usable, 4)
 		})
@@ -297,16 +297,16 @@
 				is := is.New(t)
 				now := time.Unix(1000, 0)
 				e := fourTargets()
-				c, d := newSelector(), newSelector()
+				s, d := newSelector(), newSelector()
 				r := e.Registry()
 
-				observe(c, now, r, r.Known["t0"])
+				observe(s, now, r, r.Known["t0"])
 				observe(d, now, r, r.Known["t0"])
 
 				change(e, now)
-				c.ApplyRegistry(now, e.Registry())
+				s.ApplyRegistry(now, e.Registry())
 
-				is.Equal(difference(now, c, e.Registry(), d, r), "")
+				is.Equal(difference(now, s, e.Registry(), d, r), "")
 				observe(d, now, r, r.Known["t0"])
 				is.True(difference(now, d, r, newSelector(), r) != "") // The observation has an effect.
 			})
@@ -326,20 +326,20 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			now := time.Unix(1000, 0)
-			e := fourTargets()
-			c := newSelector()
-			old := e.Registry().Known["t0"]
+			d := fourTargets()
+			s := newSelector()
+			old := d.Registry().Known["t0"]
 
-			c.Start(now, old)
-			observe(c, now, e.Registry(), old)
+			s.Start(now, old)
+			observe(s, now, d.Registry(), old)
 
 			x := entry("t0", 0)
 			x.Address = netip.MustParseAddrPort("10.0.0.9:80")
-			e.Set(x)
-			c.ApplyRegistry(now, e.Registry())
-			c.Finish(now, old, selector.Unreachable) // The outcome refers to the earlier address.
+			d.Set(x)
+			s.ApplyRegistry(now, d.Registry())
+			s.Finish(now, old, selector.Unreachable) // The outcome refers to the earlier address.
 
-			is.Equal(difference(now, c, e.Registry(), newSelector(), e.Registry()) != "", kept[name])
+			is.Equal(difference(now, s, d.Registry(), newSelector(), d.Registry()) != "", kept[name])
 		})
 	}
 }
@@ -351,59 +351,59 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			now := time.Unix(1000, 0)
-			e := fourTargets()
-			c := newSelector()
-			old := e.Registry().Known["t0"]
+			d := fourTargets()
+			s := newSelector()
+			old := d.Registry().Known["t0"]
 
-			c.Start(now, old)
-			observe(c, now, e.Registry(), old)
+			s.Start(now, old)
+			observe(s, now, d.Registry(), old)
 
-			b := c.Views(now, e.Registry())[0].Load
+			b := s.Views(now, d.Registry())[0].Load
 			x := entry("t0", 0)
 			x.Group = "others"
-			e.Set(x)
-			c.ApplyRegistry(now, e.Registry())
+			d.Set(x)
+			s.ApplyRegistry(now, d.Registry())
 
-			v := c.Views(now, e.Registry())[0]
-			is.Equal(v, selector.View{Target: e.Registry().Known["t0"], Load: b})
+			v := s.Views(now, d.Registry())[0]
+			is.Equal(v, selector.View{Target: d.Registry().Known["t0"], Load: b})
 
-			c.Finish(now, old, selector.Failed)
-			is.Equal(c.Views(now, e.Registry())[0].Load, b-1)
+			s.Finish(now, old, selector.Failed)
+			is.Equal(s.Views(now, d.Registry())[0].Load, b-1)
 
 			// A call without a prompt treats it like a target without state.
-			y, ok := c.Choose(now.Add(time.Second), e.Registry(), "others", selector.Query{})
+			y, ok := s.Choose(now.Add(time.Second), d.Registry(), "others", selector.Query{})
 			is.True(ok)
 			is.Equal(y.Usable, 1)
 		})
 	}
 }
 
-// The entry of a process lapses because its heartbeats are late, and the process is listed again later. Guards
+// The entry of a process expires because its heartbeats are late, and the process is listed again later. Guards
 // against running calls that are no longer counted, or whose ends are subtracted from the count of others.
 func TestCallsAreCountedAcrossAbsence(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
-	e := fourTargets()
-	c := newSelector()
-	old := e.Registry().Known["t0"]
+	d := fourTargets()
+	s := newSelector()
+	old := d.Registry().Known["t0"]
 
 	for range 3 {
-		c.Start(now, old)
+		s.Start(now, old)
 	}
 
-	e.Remove(now, "t0")
-	c.ApplyRegistry(now, e.Registry())
-	c.Finish(now, old, selector.Failed)
+	d.Remove(now, "t0")
+	s.ApplyRegistry(now, d.Registry())
+	s.Finish(now, old, selector.Failed)
 
-	e.Set(entry("t0", 0))
-	c.ApplyRegistry(now, e.Registry())
-	is.Equal(c.Views(now, e.Registry())[0].Load, 2.0)
+	d.Set(entry("t0", 0))
+	s.ApplyRegistry(now, d.Registry())
+	is.Equal(s.Views(now, d.Registry())[0].Load, 2.0)
 
 	for range 2 {
-		c.Finish(now, old, selector.Answered)
+		s.Finish(now, old, selector.Answered)
 	}
 
-	is.Equal(c.Views(now, e.Registry())[0].Load, 0.0)
+	is.Equal(s.Views(now, d.Registry())[0].Load, 0.0)
 }
 
 // Two targets share a short name. Guards against state of one that is applied to the other: an update from
@@ -415,26 +415,26 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			now := time.Unix(1000, 0)
-			e := discoverer.New(discoverer.DefaultSettings())
+			d := discoverer.New(discoverer.DefaultSettings())
 
 			for _, id := range []string{a, b} {
 				x := entry(id, 0)
 				x.Start = time.Time{}
-				e.Set(x)
+				d.Set(x)
 			}
 
-			r := e.Registry()
+			r := d.Registry()
 			is.Equal(r.Known[a].Key().Name(), r.Known[b].Key().Name())
 
-			c, f := newSelector(), newSelector()
-			observe(c, now, r, r.Known[a])
+			s, f := newSelector(), newSelector()
+			observe(s, now, r, r.Known[a])
 
 			// Only b is queried, and only a was observed.
-			is.Equal(c.Views(now, r)[1], f.Views(now, r)[1])
+			is.Equal(s.Views(now, r)[1], f.Views(now, r)[1])
 
 			for n := range uint64(60) {
 				q := selector.Query{Prefixes: query(n).Prefixes, Excluded: []string{a}}
-				x, _ := c.Choose(now, r, group, q)
+				x, _ := s.Choose(now, r, group, q)
 				y, _ := f.Choose(now, r, group, q)
 				is.Equal(x.Cached, y.Cached)
 				is.Equal(x.Load, y.Load)
--- a/internal/selector/selector.go
+++ b/internal/selector/selector.go
@@ -36,8 +36,8 @@
 	// factorMargin is the fraction of the permitted multiple up to which targets are filled. It leaves a
 	// margin because load reports are slightly out of date.
 	factorMargin = 0.85
-	// minFactor leaves headroom above the mean; without it calls would be declined by one target after the
-	// other.
+	// minFactor leaves headroom above the mean; without it calls would be declined by one target after
+	// another.
 	minFactor = 1.1
 )
 
@@ -83,8 +83,8 @@
 }
 
 // SetThrottle replaces the settings of the bound on calls to cold targets.
-func (c *Selector) SetThrottle(s throttler.Settings) {
-	c.throttler.Set(s)
+func (s *Selector) SetThrottle(t throttler.Settings) {
+	s.throttler.Set(t)
 }
 
 // allows reports whether the call may be sent to the data centre of a target.
@@ -110,9 +110,9 @@
 	Throttled bool
 	// BackingOff is the number of targets that were skipped during a backoff.
 	BackingOff int
-	// MedianPace is the median pace of the targets of the group: the time until an answer begins, as a fraction of
+	// MedianLatency is the median latency of the targets of the group: the time until an answer begins, as a fraction of
 	// the time within which it is fully useful. Zero if unknown.
-	MedianPace float64
+	MedianLatency float64
 
 	// prefixes are the prefixes of the prompt, and fresh the keys of those that Target was not known to have
 	// cached.
@@ -140,7 +140,7 @@
 	loads      []TargetLoad
 	health     *health
 	placements *placements
-	// suppressor tracks the targets that asked this instance for a backoff.
+	// suppressor tracks the targets that requested a backoff from this instance.
 	suppressor *suppressor.Suppressor[discoverer.Key]
 	// throttler bounds the calls to cold targets. fleet returns the state of all instances.
 	throttler *throttler.Throttler
@@ -150,33 +150,33 @@
 // New returns a selector without calls. Until Throttle is called, it assumes that this instance is the only
 // one.
 func New(s Settings) *Selector {
-	c := &Selector{settings: s, states: make(map[discoverer.Key]*state), departed: make(departures), health: newHealth(), placements: newPlacements(), suppressor: suppressor.New[discoverer.Key]()}
-	c.Throttle(throttler.DefaultSettings(), func() throttler.Fleet {
+	o := &Selector{settings: s, states: make(map[discoverer.Key]*state), departed: make(departures), health: newHealth(), placements: newPlacements(), suppressor: suppressor.New[discoverer.Key]()}
+	o.Throttle(throttler.DefaultSettings(), func() throttler.Fleet {
 		return throttler.Fleet{Live: []uint64{0}, MaxInstances: 1, Settled: true}
 	})
 
-	return c
+	return o
 }
 
 // Throttle sets the bound on the calls to cold targets and the source of the state of all instances.
-func (c *Selector) Throttle(s throttler.Settings, fleet func() throttler.Fleet) {
-	c.throttler, c.fleet = throttler.New(s), fleet
+func (s *Selector) Throttle(t throttler.Settings, fleet func() throttler.Fleet) {
+	s.throttler, s.fleet = throttler.New(t), fleet
 }
 
 // Choose selects a target of a group for a call and counts the call at throttled or recovering targets. It
 // returns false if the group has no target that may be used.
-func (c *Selector) Choose(now time.Time, r *discoverer.Registry, group string, q Query) (Choice, bool) {
+func (s *Selector) Choose(now time.Time, r *discoverer.Registry, group string, q Query) (Choice, bool) {
 	g := r.Groups[group]
 	if q.Sharded {
 		g = sharder.Shard(q.Customer, g)
 	}
 
-	all := c.candidates(now, r, g, &q)
-	ready, _ := c.withoutBackoff(now, all)
-	open := c.admissible(now, ready, &q)
+	all := s.candidates(now, r, g, &q)
+	ready, _ := s.withoutBackoff(now, all)
+	open := s.admissible(now, ready, &q)
 	backingOff, cold := len(all)-len(ready), len(ready)-len(open)
 
-	l, u, usual := c.health.usable(now, group, open)
+	l, u, usual := s.health.usable(now, group, open)
 	u = filterOrAll(u, func(x candidate) bool { return !x.shed })
 
 	if len(u) == 0 {
@@ -184,33 +184,33 @@
 	}
 
 	if len(open) < len(all) {
-		l = c.loadBaseline(now, l, all)
+		l = s.loadBaseline(now, l, all)
 	}
 
 	if len(q.Prefixes) == 0 {
-		x := pickLeastLoaded(u, q.DataCentre, c.settings.RemotePenalty, q.Draw)
-		c.recordSent(now, x)
+		x := pickLeastLoaded(u, q.DataCentre, s.settings.RemotePenalty, q.Draw)
+		s.recordSent(now, x)
 
 		return Choice{
-			Target: x.target, Load: x.load, Bound: float64(x.target.Slots), Usable: len(u), MedianPace: usual,
+			Target: x.target, Load: x.load, Bound: float64(x.target.Slots), Usable: len(u), MedianLatency: usual,
 			Cold: cold, Throttled: x.cold, BackingOff: backingOff,
 		}, true
 	}
 
-	h := c.placements.holders(now, q.Prefixes[0].Key)
-	bound := c.settings.bound(l, c.candidates(now, r, r.Closed[group], &Query{}))
+	h := s.placements.holders(now, q.Prefixes[0].Key)
+	bound := s.settings.bound(l, s.candidates(now, r, r.Closed[group], &Query{}))
 	x := pickForPrompt(u, bound, h, q)
 	n := x.target.Key()
-	c.recordSent(now, x)
+	s.recordSent(now, x)
 
 	o := Choice{
-		Target: x.target, Source: c.fetchSource(now, r, u, n, h, &q),
-		Load: x.load, Bound: bound, Usable: len(u), Cached: slices.Contains(h, n), MedianPace: usual, Cold: cold, Throttled: x.cold,
+		Target: x.target, Source: s.fetchSource(now, r, u, n, h, &q),
+		Load: x.load, Bound: bound, Usable: len(u), Cached: slices.Contains(h, n), MedianLatency: usual, Cold: cold, Throttled: x.cold,
 		BackingOff: backingOff, prefixes: q.Prefixes,
 	}
 
 	for _, p := range q.Prefixes {
-		if c.placements.recordUse(now, p.Key, n) {
+		if s.placements.recordUse(now, p.Key, n) {
 			o.fresh = append(o.fresh, p.Key)
 		}
 	}
@@ -225,7 +225,7 @@
 // After the loss of all instances the placements are unknown, while the engines still have the prompts cached
 // and all callers return at once. The first target in the order served the prompt before; calls beyond its
 // bound are assigned to the next ones, each of which would otherwise compute the prompt again.
-func (c *Selector) fetchSource(
+func (s *Selector) fetchSource(
 	now time.Time, r *discoverer.Registry, usable []candidate, target discoverer.Key, holders []discoverer.Key, q *Query,
 ) *discoverer.Target {
 	l := q.Prefixes
@@ -235,7 +235,7 @@
 		}
 	}
 
-	return c.knownSource(now, r, target, q)
+	return s.knownSource(now, r, target, q)
 }
 
 // minFetchTokens is the minimum prefix length for a fetch from another target. Computing a shorter prefix
@@ -244,25 +244,25 @@
 
 // knownSource returns a target from which the selected one may fetch the longest prefix of the prompt that is
 // cached anywhere; nil if the selected target has the same prefix cached itself.
-func (c *Selector) knownSource(now time.Time, r *discoverer.Registry, target discoverer.Key, q *Query) *discoverer.Target {
+func (s *Selector) knownSource(now time.Time, r *discoverer.Registry, target discoverer.Key, q *Query) *discoverer.Target {
 	for _, p := range q.Prefixes {
 		if p.Tokens < minFetchTokens {
 			return nil
 		}
 
-		h := c.placements.holders(now, p.Key)
+		h := s.placements.holders(now, p.Key)
 		if slices.Contains(h, target) {
 			return nil
 		}
 
 		for _, n := range h {
-			if t, ok := r.Processes[n]; ok && q.allows(t) && c.health.healthy(now, t) {
+			if t, ok := r.Processes[n]; ok && q.allows(t) && s.health.healthy(now, t) {
 				return t
 			}
 		}
 
 		for _, n := range h {
-			if t, ok := c.departed.source(now, n); ok && q.allows(t) {
+			if t, ok := s.departed.source(now, n); ok && q.allows(t) {
 				return t
 			}
 		}
@@ -273,36 +273,36 @@
 
 // Fullness returns the number of calls per slot at the targets of a group. Above one, calls wait. It is zero
 // if the targets do not report their slots.
-func (c *Selector) Fullness(now time.Time, r *discoverer.Registry, group string) float64 {
-	n, s := 0.0, 0
+func (s *Selector) Fullness(now time.Time, r *discoverer.Registry, group string) float64 {
+	n, m := 0.0, 0
 
 	for _, t := range r.Groups[group] {
-		n += c.load(now, t)
-		s += t.Slots
+		n += s.load(now, t)
+		m += t.Slots
 	}
 
-	if s == 0 {
+	if m == 0 {
 		return 0
 	}
 
-	return n / float64(s)
+	return n / float64(m)
 }
 
-func (c *Selector) load(now time.Time, t *discoverer.Target) float64 {
-	if s, ok := c.states[t.Key()]; ok {
-		return s.load(now)
+func (s *Selector) load(now time.Time, t *discoverer.Target) float64 {
+	if p, ok := s.states[t.Key()]; ok {
+		return p.load(now)
 	}
 
 	return 0
 }
 
 // state returns the load state of a target's process, which is created if necessary.
-func (c *Selector) state(t *discoverer.Target) *state {
-	s, ok := c.states[t.Key()]
+func (s *Selector) state(t *discoverer.Target) *state {
+	p, ok := s.states[t.Key()]
 	if !ok {
-		s = &state{target: t, unlisted: c.listed != nil && c.listed[t.Key()] == nil}
-		c.states[t.Key()] = s
+		p = &state{target: t, unlisted: s.listed != nil && s.listed[t.Key()] == nil}
+		s.states[t.Key()] = p
 	}
 
-	return s
+	return p
 }
