--- a/internal/selector/selector_test.go
+++ b/internal/selector/selector_test.go
@@ -17,14 +17,14 @@
 
 // registry returns a registry of n targets spread over the data centres.
 func registry(n int, centres ...string) *discoverer.Registry {
-	e := discoverer.New(discoverer.DefaultSettings())
+	d := discoverer.New(discoverer.DefaultSettings())
 	for i := range n {
-		e.Set(discoverer.Target{
+		d.Set(discoverer.Target{
 			ID: fmt.Sprintf("t%d", i), Group: group, DataCentre: centres[i%len(centres)], Slots: 64,
 		})
 	}
 
-	return e.Registry()
+	return d.Registry()
 }
 
 func query(key uint64) selector.Query {
@@ -32,13 +32,13 @@
 }
 
 // choose selects a target for a call and counts the call there.
-func choose(c *selector.Selector, now time.Time, r *discoverer.Registry, q selector.Query) selector.Choice {
-	x, ok := c.Choose(now, r, group, q)
+func choose(s *selector.Selector, now time.Time, r *discoverer.Registry, q selector.Query) selector.Choice {
+	x, ok := s.Choose(now, r, group, q)
 	if !ok {
 		panic("no target")
 	}
 
-	c.Start(now, x.Target)
+	s.Start(now, x.Target)
 
 	return x
 }
@@ -57,7 +57,7 @@
 
 	is := is.New(t)
 	r := registry(9, "a", "b", "c")
-	c := selector.New(selector.DefaultSettings().WithMaxFactor(factor))
+	s := selector.New(selector.DefaultSettings().WithMaxFactor(factor))
 
 	if factor == 0 {
 		factor = 2
@@ -80,7 +80,7 @@
 		now = now.Add(10 * time.Millisecond)
 
 		for len(calls) > 0 && !calls[0].ends.After(now) {
-			c.Finish(now, calls[0].target, selector.Answered)
+			s.Finish(now, calls[0].target, selector.Answered)
 			running[calls[0].target.ID]--
 			calls = calls[1:]
 		}
@@ -90,7 +90,7 @@
 			k = 0
 		}
 
-		o := choose(c, now, r, query(k+1))
+		o := choose(s, now, r, query(k+1))
 		calls = append(calls, call{o.Target, now.Add(2 * time.Second)})
 		running[o.Target.ID]++
 
@@ -105,33 +105,33 @@
 	is.True(factor < 2 || len(hot) <= 5) // Not all nine have computed the prompt.
 }
 
-// A data centre is cut off. Guards against calls that are refused although most engines are healthy: each
+// A data centre is partitioned. Guards against calls that are refused although most engines are healthy: each
 // unreachable target costs a call a dial time-out, until the call has no attempts left.
-func TestCutOffDataCentreCostsTwoDials(t *testing.T) {
+func TestPartitionedDataCentreCostsTwoDials(t *testing.T) {
 	is := is.New(t)
 	r := registry(18, "a", "b", "c")
-	c := selector.New(selector.DefaultSettings())
+	s := selector.New(selector.DefaultSettings())
 	now := time.Unix(0, 0)
 	dials := 0
 
 	for i := range 300 {
 		now = now.Add(time.Millisecond)
-		o := choose(c, now, r, query(uint64(i+1)))
+		o := choose(s, now, r, query(uint64(i+1)))
 
 		if o.Target.DataCentre == "b" {
 			dials++
 
-			c.Finish(now, o.Target, selector.Unreachable)
+			s.Finish(now, o.Target, selector.Unreachable)
 		} else {
-			c.Finish(now, o.Target, selector.Answered)
+			s.Finish(now, o.Target, selector.Answered)
 		}
 	}
 
 	is.Equal(dials, 2)
 
-	out := c.HealthChanges()
+	out := s.HealthChanges()
 	is.Equal(out[len(out)-1], selector.HealthChange{Cause: selector.CentreUnreachable, Source: selector.Own, Name: "b", Excluded: true})
-	is.Equal(len(c.HealthChanges()), 0)
+	is.Equal(len(s.HealthChanges()), 0)
 
 	// Once the partition has healed, one call detects it and others follow: those with new prompts, since
 	// earlier ones are cached elsewhere by now.
@@ -139,8 +139,8 @@
 
 	for i := range 300 {
 		now = now.Add(10 * time.Millisecond)
-		o := choose(c, now, r, query(uint64(i+1000)))
-		c.Finish(now, o.Target, selector.Answered)
+		o := choose(s, now, r, query(uint64(i+1000)))
+		s.Finish(now, o.Target, selector.Answered)
 
 		if o.Target.DataCentre == "b" {
 			readmitted++
@@ -149,42 +149,42 @@
 
 	is.True(readmitted > 30)
 
-	in := c.HealthChanges()
+	in := s.HealthChanges()
 	is.True(slices.Contains(in, selector.HealthChange{Cause: selector.CentreUnreachable, Source: selector.Own, Name: "b"}))
 }
 
-// An instance whose data centre is cut off from all others reaches a fifth of the targets. Guards against
+// An instance whose data centre is partitioned from all others reaches a fifth of the targets. Guards against
 // panic mode, which would make it use the unreachable ones.
-func TestCutOffInstanceUsesLocalTargets(t *testing.T) {
+func TestPartitionedInstanceUsesLocalTargets(t *testing.T) {
 	is := is.New(t)
 	r := registry(20, "a", "b", "c", "d", "e")
-	c := selector.New(selector.DefaultSettings())
+	s := selector.New(selector.DefaultSettings())
 	now := time.Unix(0, 0)
 	unreachable := 0
 
 	for i := range 200 {
 		now = now.Add(time.Millisecond)
-		o := choose(c, now, r, query(uint64(i+1)))
+		o := choose(s, now, r, query(uint64(i+1)))
 
 		if o.Target.DataCentre != "a" {
 			unreachable++
 
-			c.Finish(now, o.Target, selector.Unreachable)
+			s.Finish(now, o.Target, selector.Unreachable)
 		} else {
-			c.Finish(now, o.Target, selector.Answered)
+			s.Finish(now, o.Target, selector.Answered)
 		}
 	}
 
 	is.True(unreachable <= 8)
 }
 
-// The data centre is cut off and all targets of a group are in others. Guards against calls that dial each of
+// The data centre is partitioned and all targets of a group are in others. Guards against calls that dial each of
 // them in turn, a third of a second in total, before they are refused. One call in 100 ms probes the targets;
 // the others are refused at once.
 func TestUnreachableGroupIsProbed(t *testing.T) {
 	is := is.New(t)
 	r := registry(3, "b", "c", "d")
-	c := selector.New(selector.DefaultSettings())
+	s := selector.New(selector.DefaultSettings())
 	now := time.Unix(0, 0)
 	dials, refused := 0, 0
 
@@ -192,7 +192,7 @@
 		q := selector.Query{DataCentre: "a"}
 
 		for range 3 {
-			o, ok := c.Choose(now, r, group, q)
+			o, ok := s.Choose(now, r, group, q)
 			if !ok {
 				refused++
 
@@ -201,15 +201,15 @@
 
 			dials++
 			q.Excluded = append(q.Excluded, o.Target.ID)
-			c.Start(now, o.Target)
+			s.Start(now, o.Target)
 
 			if reached {
-				c.Finish(now, o.Target, selector.Answered)
+				s.Finish(now, o.Target, selector.Answered)
 
 				return true
 			}
 
-			c.Finish(now, o.Target, selector.Unreachable)
+			s.Finish(now, o.Target, selector.Unreachable)
 		}
 
 		return false
@@ -241,7 +241,7 @@
 func TestSlowTargetIsExcludedAndProbed(t *testing.T) {
 	is := is.New(t)
 	r := registry(6, "a")
-	c := selector.New(selector.DefaultSettings())
+	s := selector.New(selector.DefaultSettings())
 	now := time.Unix(0, 0)
 
 	send := func(n int, slow bool) int {
@@ -249,7 +249,7 @@
 
 		for range n {
 			now = now.Add(10 * time.Millisecond)
-			o := choose(c, now, r, query(uint64(now.UnixMilli())))
+			o := choose(s, now, r, query(uint64(now.UnixMilli())))
 			p := 0.15
 
 			if o.Target.ID == "t3" {
@@ -260,8 +260,8 @@
 				}
 			}
 
-			c.ObservePace(now, o.Target, p)
-			c.Finish(now, o.Target, selector.Answered)
+			s.ObserveLatency(now, o.Target, p)
+			s.Finish(now, o.Target, selector.Answered)
 		}
 
 		return k
@@ -269,7 +269,7 @@
 
 	is.True(send(300, false) > 20)
 	is.True(send(300, true) < 12)
-	is.Equal(c.HealthChanges(), []selector.HealthChange{{Cause: selector.TargetSlow, Source: selector.Own, Name: "t3", Process: discoverer.Process{ID: "t3"}, Excluded: true}})
+	is.Equal(s.HealthChanges(), []selector.HealthChange{{Cause: selector.TargetSlow, Source: selector.Own, Name: "t3", Process: discoverer.Process{ID: "t3"}, Excluded: true}})
 	send(600, false)
 	is.True(send(300, false) > 20)
 }
@@ -278,22 +278,22 @@
 // while they can be fetched from it as it drains.
 func TestPromptIsFetchedFromDrainingTarget(t *testing.T) {
 	is := is.New(t)
-	e := discoverer.New(discoverer.DefaultSettings())
+	d := discoverer.New(discoverer.DefaultSettings())
 	now := time.Unix(0, 0)
-	e.Set(discoverer.Target{ID: "old", Group: group})
+	d.Set(discoverer.Target{ID: "old", Group: group})
 
-	c := selector.New(selector.DefaultSettings())
-	o := choose(c, now, e.Registry(), query(7))
+	s := selector.New(selector.DefaultSettings())
+	o := choose(s, now, d.Registry(), query(7))
 	is.Equal(o.Source, nil)
 
-	e.Set(discoverer.Target{ID: "new", Group: group})
-	e.Set(discoverer.Target{ID: "old", Group: group, Draining: true})
+	d.Set(discoverer.Target{ID: "new", Group: group})
+	d.Set(discoverer.Target{ID: "old", Group: group, Draining: true})
 
-	o = choose(c, now, e.Registry(), query(7))
+	o = choose(s, now, d.Registry(), query(7))
 	is.Equal(o.Target.ID, "new")
 	is.Equal(o.Source.ID, "old")
 
-	o = choose(c, now, e.Registry(), query(7))
+	o = choose(s, now, d.Registry(), query(7))
 	is.Equal(o.Source, nil) // It has the prompt cached now.
 }
 
@@ -312,15 +312,15 @@
 			is := is.New(t)
 			now := time.Unix(1000, 0)
 			r := registry(2, "a")
-			c := selector.New(selector.DefaultSettings())
+			s := selector.New(selector.DefaultSettings())
 			q := query(9)
 			q.Excluded = []string{"t0"} // The call is sent to the other target in any case.
 
 			if x.holder != "" {
-				c.ApplyUpdate(now.Add(x.age), r, selector.Update{Placements: []selector.Placement{{Key: 9, Target: discoverer.Process{ID: x.holder}.Key().Name()}}})
+				s.ApplyUpdate(now.Add(x.age), r, selector.Update{Placements: []selector.Placement{{Key: 9, Target: discoverer.Process{ID: x.holder}.Key().Name()}}})
 			}
 
-			o, ok := c.Choose(now, r, group, q)
+			o, ok := s.Choose(now, r, group, q)
 			is.True(ok)
 			is.Equal(o.Target.ID, "t1")
 			is.Equal(o.Source != nil, x.fetch)
@@ -332,16 +332,16 @@
 	is := is.New(t)
 	now := time.Unix(0, 0)
 	r := registry(1, "a")
-	c := selector.New(selector.DefaultSettings())
+	s := selector.New(selector.DefaultSettings())
 
-	read := func(now time.Time) { c.ConfirmPlacements(now, choose(c, now, r, query(1))) }
+	read := func(now time.Time) { s.ConfirmPlacements(now, choose(s, now, r, query(1))) }
 
 	read(now)
-	is.Equal(len(c.PendingUpdate().Placements), 1)
+	is.Equal(len(s.PendingUpdate().Placements), 1)
 	read(now.Add(time.Second))
-	is.Equal(len(c.PendingUpdate().Placements), 0)
+	is.Equal(len(s.PendingUpdate().Placements), 0)
 	read(now.Add(30 * time.Second))
-	is.Equal(len(c.PendingUpdate().Placements), 1)
+	is.Equal(len(s.PendingUpdate().Placements), 1)
 }
 
 // Guards against a fetch from a target that does not have the prompt: other instances were notified of a
@@ -349,22 +349,22 @@
 func TestPlacementIsNotifiedOnceProcessed(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
-	e := discoverer.New(discoverer.DefaultSettings())
-	e.Set(discoverer.Target{ID: "t", Group: group})
+	d := discoverer.New(discoverer.DefaultSettings())
+	d.Set(discoverer.Target{ID: "t", Group: group})
 
-	c := selector.New(selector.DefaultSettings())
-	x := choose(c, now, e.Registry(), query(1))
-	is.Equal(len(c.PendingUpdate().Placements), 0)
+	s := selector.New(selector.DefaultSettings())
+	x := choose(s, now, d.Registry(), query(1))
+	is.Equal(len(s.PendingUpdate().Placements), 0)
 
-	c.ConfirmPlacements(now, x)
-	is.Equal(c.PendingUpdate().Placements, []selector.Placement{{Key: 1, Target: x.Target.Key().Name()}})
+	s.ConfirmPlacements(now, x)
+	is.Equal(s.PendingUpdate().Placements, []selector.Placement{{Key: 1, Target: x.Target.Key().Name()}})
 
 	// No notification is sent for a process that is no longer listed.
-	y := choose(c, now.Add(time.Minute), e.Registry(), query(2))
-	e.Remove(now.Add(time.Minute), "t")
-	c.ApplyRegistry(now.Add(time.Minute), e.Registry())
-	c.ConfirmPlacements(now.Add(time.Minute), y)
-	is.Equal(len(c.PendingUpdate().Placements), 0)
+	y := choose(s, now.Add(time.Minute), d.Registry(), query(2))
+	d.Remove(now.Add(time.Minute), "t")
+	s.ApplyRegistry(now.Add(time.Minute), d.Registry())
+	s.ConfirmPlacements(now.Add(time.Minute), y)
+	is.Equal(len(s.PendingUpdate().Placements), 0)
 }
 
 // All instances lost power and all callers return at once. The engines still have the prompts cached, but the
@@ -392,18 +392,18 @@
 			q.Prefixes[0].Tokens = x.tokens
 
 			first := choose(selector.New(selector.DefaultSettings()), now, r, q).Target
-			c := selector.New(selector.DefaultSettings())
+			s := selector.New(selector.DefaultSettings())
 
 			if x.full {
-				c.ReportLoad(now, first, selector.LoadReport{Running: 60, Slots: 64})
+				s.ReportLoad(now, first, selector.LoadReport{Running: 60, Slots: 64})
 			}
 
 			if x.unreachable {
-				c.Start(now, first)
-				c.Finish(now, first, selector.Unreachable)
+				s.Start(now, first)
+				s.Finish(now, first, selector.Unreachable)
 			}
 
-			o := choose(c, now, r, q)
+			o := choose(s, now, r, q)
 			is.Equal(o.Target != first, x.full || x.unreachable)
 			is.Equal(o.Source == first, x.want)
 			is.Equal(o.Source != nil, x.want)
@@ -415,51 +415,51 @@
 	is := is.New(t)
 	now := time.Unix(0, 0)
 	r := registry(2, "a")
-	c := selector.New(selector.DefaultSettings())
+	s := selector.New(selector.DefaultSettings())
 
-	o := choose(c, now, r, query(1))
-	c.Finish(now, o.Target, selector.Shed)
+	o := choose(s, now, r, query(1))
+	s.Finish(now, o.Target, selector.Shed)
 
-	p := choose(c, now, r, query(1))
+	p := choose(s, now, r, query(1))
 	is.True(p.Target.ID != o.Target.ID)
-	c.Finish(now, p.Target, selector.Answered)
+	s.Finish(now, p.Target, selector.Answered)
 
 	// With both full, a call is still sent: only the target knows whether it has a free slot by now.
-	c.Start(now, p.Target)
-	c.Finish(now, p.Target, selector.Shed)
-	choose(c, now, r, query(1))
+	s.Start(now, p.Target)
+	s.Finish(now, p.Target, selector.Shed)
+	choose(s, now, r, query(1))
 }
 
 func TestLoadReportsCount(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
 	r := registry(3, "a")
-	c := selector.New(selector.DefaultSettings())
+	s := selector.New(selector.DefaultSettings())
 
-	o := choose(c, now, r, query(5))
-	c.ReportLoad(now, o.Target, selector.LoadReport{Running: 40, Slots: 64})
+	o := choose(s, now, r, query(5))
+	s.ReportLoad(now, o.Target, selector.LoadReport{Running: 40, Slots: 64})
 
-	p := choose(c, now, r, query(5))
+	p := choose(s, now, r, query(5))
 	is.True(p.Target.ID != o.Target.ID)
 	is.Equal(p.Source.ID, o.Target.ID)
 
 	// A load report expires.
 	now = now.Add(time.Minute / 2)
-	c.Finish(now, p.Target, selector.Answered)
-	c.Finish(now, o.Target, selector.Answered)
-	is.Equal(choose(c, now, r, query(5)).Target.ID, o.Target.ID)
+	s.Finish(now, p.Target, selector.Answered)
+	s.Finish(now, o.Target, selector.Answered)
+	is.Equal(choose(s, now, r, query(5)).Target.ID, o.Target.ID)
 }
 
 func TestCallsWithoutPromptPreferLocalTargets(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
 	r := registry(2, "a", "b")
-	c := selector.New(selector.DefaultSettings())
+	s := selector.New(selector.DefaultSettings())
 	q := selector.Query{DataCentre: "b"}
 	remote := 0
 
 	for range 50 {
-		if choose(c, now, r, q).Target.DataCentre != "b" {
+		if choose(s, now, r, q).Target.DataCentre != "b" {
 			remote++
 		}
 	}
@@ -469,8 +469,8 @@
 
 func TestNoTarget(t *testing.T) {
 	is := is.New(t)
-	c := selector.New(selector.DefaultSettings())
-	_, ok := c.Choose(time.Unix(0, 0), registry(1, "a"), "other", query(1))
+	s := selector.New(selector.DefaultSettings())
+	_, ok := s.Choose(time.Unix(0, 0), registry(1, "a"), "other", query(1))
 	is.True(!ok)
 }
 
@@ -478,14 +478,14 @@
 	is := is.New(t)
 	now := time.Unix(0, 0)
 	r := registry(1, "a")
-	c := selector.New(selector.DefaultSettings())
-	o := choose(c, now, r, query(1))
-
-	c.ApplyRegistry(now, &discoverer.Registry{}) // A call is still running there.
-	c.Finish(now, o.Target, selector.Answered)
-	c.ApplyRegistry(now, &discoverer.Registry{})
-	c.Finish(now, o.Target, selector.Answered) // The count does not become negative.
-	is.Equal(choose(c, now, r, query(1)).Target.ID, o.Target.ID)
+	s := selector.New(selector.DefaultSettings())
+	o := choose(s, now, r, query(1))
+
+	s.ApplyRegistry(now, &discoverer.Registry{}) // A call is still running there.
+	s.Finish(now, o.Target, selector.Answered)
+	s.ApplyRegistry(now, &discoverer.Registry{})
+	s.Finish(now, o.Target, selector.Answered) // The count does not become negative.
+	is.Equal(choose(s, now, r, query(1)).Target.ID, o.Target.ID)
 }
 
 // Each of seventy instances has sent an engine few calls and does not know of the others' calls. Guards
@@ -494,21 +494,21 @@
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	r := registry(3, "a")
-	c := selector.New(selector.DefaultSettings())
-	o, ok := c.Choose(now, r, group, query(5))
+	s := selector.New(selector.DefaultSettings())
+	o, ok := s.Choose(now, r, group, query(5))
 	is.True(ok)
 
-	c.ApplyUpdate(now, r, selector.Update{Loads: []selector.TargetLoad{{Target: o.Target.Key().Name(), Calls: 40, At: now.Add(-time.Second / 2)}}})
-	p, ok := c.Choose(now, r, group, query(5))
+	s.ApplyUpdate(now, r, selector.Update{Loads: []selector.TargetLoad{{Target: o.Target.Key().Name(), Calls: 40, At: now.Add(-time.Second / 2)}}})
+	p, ok := s.Choose(now, r, group, query(5))
 	is.True(ok)
 	is.True(p.Target.ID != o.Target.ID)
 
 	// An older report does not replace a newer one.
-	c.ReportLoad(now, o.Target, selector.LoadReport{Running: 1, Slots: 64})
-	c.ApplyUpdate(now, r, selector.Update{Loads: []selector.TargetLoad{{Target: o.Target.Key().Name(), Calls: 40, At: now.Add(-time.Second)}}})
-	is.Equal(c.PendingUpdate().Loads, []selector.TargetLoad{{Target: o.Target.Key().Name(), Calls: 1, At: now}})
+	s.ReportLoad(now, o.Target, selector.LoadReport{Running: 1, Slots: 64})
+	s.ApplyUpdate(now, r, selector.Update{Loads: []selector.TargetLoad{{Target: o.Target.Key().Name(), Calls: 40, At: now.Add(-time.Second)}}})
+	is.Equal(s.PendingUpdate().Loads, []selector.TargetLoad{{Target: o.Target.Key().Name(), Calls: 1, At: now}})
 
-	p, ok = c.Choose(now, r, group, query(5))
+	p, ok = s.Choose(now, r, group, query(5))
 	is.True(ok)
 	is.Equal(p.Target.ID, o.Target.ID)
 }
@@ -520,15 +520,15 @@
 func TestBoundCoversWholeGroup(t *testing.T) {
 	i := is.New(t)
 	r := registry(20, "a", "b", "c")
-	c := selector.New(selector.DefaultSettings())
+	s := selector.New(selector.DefaultSettings())
 	x := rand.New(rand.NewPCG(3, 4))
 	now := time.Unix(0, 0)
 
 	for n := range 7 {
 		for range 3 {
 			k := r.Known[fmt.Sprintf("t%d", n)]
-			c.Start(now, k)
-			c.Finish(now, k, selector.Failed)
+			s.Start(now, k)
+			s.Finish(now, k, selector.Failed)
 		}
 	}
 
@@ -541,7 +541,7 @@
 			k = 1 + x.Uint64N(300)
 		}
 
-		o := choose(c, now.Add(time.Duration(n)*time.Millisecond), r, query(k+1))
+		o := choose(s, now.Add(time.Duration(n)*time.Millisecond), r, query(k+1))
 		running[o.Target.ID]++
 
 		// The guaranteed multiple of the mean, plus a slack for few calls.
@@ -552,33 +552,33 @@
 // A target that failed is half-open, and the caller of its one probe call disconnects. Guards against the
 // target remaining excluded for ten more seconds although the probe call was inconclusive.
 func TestInconclusiveProbeIsRepeated(t *testing.T) {
-	for name, end := range map[string]func(c *selector.Selector, now time.Time, k *discoverer.Target){
-		"the caller disconnects": func(c *selector.Selector, now time.Time, k *discoverer.Target) {
-			c.Finish(now, k, selector.Inconclusive)
+	for name, end := range map[string]func(s *selector.Selector, now time.Time, k *discoverer.Target){
+		"the caller disconnects": func(s *selector.Selector, now time.Time, k *discoverer.Target) {
+			s.Finish(now, k, selector.Inconclusive)
 		},
-		"the answer has begun":   func(c *selector.Selector, now time.Time, k *discoverer.Target) { c.ObservePace(now, k, 0.1) },
-		"the answer is complete": func(c *selector.Selector, now time.Time, k *discoverer.Target) { c.Finish(now, k, selector.Answered) },
+		"the answer has begun":   func(s *selector.Selector, now time.Time, k *discoverer.Target) { s.ObserveLatency(now, k, 0.1) },
+		"the answer is complete": func(s *selector.Selector, now time.Time, k *discoverer.Target) { s.Finish(now, k, selector.Answered) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
 			r := registry(3, "a")
-			c := selector.New(selector.DefaultSettings())
+			s := selector.New(selector.DefaultSettings())
 			now := time.Unix(0, 0)
 			k := r.Known["t0"]
 
 			for range 3 {
-				c.Start(now, k)
-				c.Finish(now, k, selector.Failed)
+				s.Start(now, k)
+				s.Finish(now, k, selector.Failed)
 			}
 
 			now = now.Add(2 * time.Second)
-			c.Start(now, k)
-			end(c, now, k)
+			s.Start(now, k)
+			end(s, now, k)
 
 			var seen bool
 
 			for n := range uint64(100) {
-				o, ok := c.Choose(now.Add(time.Millisecond), r, group, query(n))
+				o, ok := s.Choose(now.Add(time.Millisecond), r, group, query(n))
 				i.True(ok)
 
 				seen = seen || o.Target.ID == "t0"
@@ -593,14 +593,14 @@
 func TestViews(t *testing.T) {
 	i := is.New(t)
 	r := registry(3, "a", "b", "c")
-	c := selector.New(selector.DefaultSettings())
+	s := selector.New(selector.DefaultSettings())
 	now := time.Unix(0, 0)
 
-	c.Start(now, r.Known["t1"])
-	c.Start(now, r.Known["t2"])
-	c.Finish(now, r.Known["t2"], selector.Unreachable)
+	s.Start(now, r.Known["t1"])
+	s.Start(now, r.Known["t2"])
+	s.Finish(now, r.Known["t2"], selector.Unreachable)
 
-	v := c.Views(now, r)
+	v := s.Views(now, r)
 	i.Equal(len(v), 3)
 	i.Equal(v[1].Load, 1.0)
 	i.True(!v[1].Excluded)
@@ -608,10 +608,10 @@
 	i.True(v[2].Excluded)
 }
 
-// A data centre is cut off. Guards against its instances refusing callers again and again while instances of
+// A data centre is partitioned. Guards against its instances refusing callers repeatedly while instances of
 // other data centres could serve them: an instance must detect that it is on the minority side of a partition.
 // In an even split neither side is.
-func TestInstanceDetectsCutOff(t *testing.T) {
+func TestInstanceDetectsPartition(t *testing.T) {
 	tests := map[string]struct {
 		centres, unreachable []string
 		want                 bool
@@ -628,17 +628,17 @@
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
 			r := registry(3*len(x.centres), x.centres...)
-			c := selector.New(selector.DefaultSettings())
+			s := selector.New(selector.DefaultSettings())
 			now := time.Unix(0, 0)
 
 			for _, k := range r.Known {
 				if slices.Contains(x.unreachable, k.DataCentre) {
-					c.Start(now, k)
-					c.Finish(now, k, selector.Unreachable)
+					s.Start(now, k)
+					s.Finish(now, k, selector.Unreachable)
 				}
 			}
 
-			l := c.CutOff(r)
+			l := s.PartitionProbes(r)
 			i.Equal(len(l) > 0, x.want)
 
 			if !x.want {
@@ -649,10 +649,10 @@
 
 			// One answer from each data centre ends the partition.
 			for _, k := range l {
-				c.Finish(now, k, selector.Answered)
+				s.Finish(now, k, selector.Answered)
 			}
 
-			i.Equal(len(c.CutOff(r)), 0)
+			i.Equal(len(s.PartitionProbes(r)), 0)
 		})
 	}
 }
@@ -662,45 +662,45 @@
 func TestReplacedTargetIsExcluded(t *testing.T) {
 	i := is.New(t)
 	r := registry(3, "a")
-	c := selector.New(selector.DefaultSettings())
+	s := selector.New(selector.DefaultSettings())
 	now := time.Unix(0, 0)
 
-	c.Start(now, r.Known["t0"])
-	c.Finish(now, r.Known["t0"], selector.Gone)
+	s.Start(now, r.Known["t0"])
+	s.Finish(now, r.Known["t0"], selector.Gone)
 
 	for n := range uint64(200) {
 		now = now.Add(10 * time.Millisecond)
-		o, ok := c.Choose(now, r, group, query(n))
+		o, ok := s.Choose(now, r, group, query(n))
 		i.True(ok)
 		i.True(o.Target.ID != "t0")
 	}
 
-	i.True(c.Views(now, r)[0].Excluded)
+	i.True(s.Views(now, r)[0].Excluded)
 }
 
 // Targets of a data centre crash one after the other, and calls to them are refused a connection. Guards
 // against two consecutive crashes being considered a network partition: the healthy targets of the data centre
-// were excluded for half a second again and again, and an instance that saw this in more than half of the data
+// were excluded for half a second repeatedly, and an instance that saw this in more than half of the data
 // centres redirected its callers.
 func TestCrashesAreNoPartition(t *testing.T) {
 	i := is.New(t)
 	r := registry(6, "a", "b")
-	c := selector.New(selector.DefaultSettings())
+	s := selector.New(selector.DefaultSettings())
 	now := time.Unix(0, 0)
 
 	for _, id := range []string{"t0", "t2"} { // Both of "a".
-		c.Start(now, r.Known[id])
-		c.Finish(now, r.Known[id], selector.Crashed)
+		s.Start(now, r.Known[id])
+		s.Finish(now, r.Known[id], selector.Crashed)
 	}
 
-	for _, b := range c.HealthChanges() {
+	for _, b := range s.HealthChanges() {
 		i.Equal(b.Cause, selector.TargetUnreachable)
 	}
 
 	called := make(map[string]bool)
 
 	for n := range uint64(50) {
-		o, ok := c.Choose(now, r, group, query(n))
+		o, ok := s.Choose(now, r, group, query(n))
 		i.True(ok)
 
 		called[o.Target.ID] = true
@@ -711,8 +711,8 @@
 	i.True(!called["t2"])
 }
 
-// Other targets of its data centre, the healthy ones first, show whether a target crashed or is cut off.
-// Targets of other data centres only count if it has no other target nearby.
+// Other targets of its data centre, the healthy ones first, show whether a target crashed or is partitioned.
+// Targets of other data centres only count if its own has no other target.
 func TestWitnesses(t *testing.T) {
 	ids := func(l []*discoverer.Target) []string {
 		o := []string{}
@@ -738,15 +738,15 @@
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
 			r := registry(6, x.centres...)
-			c := selector.New(selector.DefaultSettings())
+			s := selector.New(selector.DefaultSettings())
 			now := time.Unix(0, 0)
 
 			for _, id := range x.crashed {
-				c.Start(now, r.Known[id])
-				c.Finish(now, r.Known[id], selector.Crashed)
+				s.Start(now, r.Known[id])
+				s.Finish(now, r.Known[id], selector.Crashed)
 			}
 
-			i.Equal(ids(c.Witnesses(now, r, r.Known["t0"])), x.want)
+			i.Equal(ids(s.Witnesses(now, r, r.Known["t0"])), x.want)
 		})
 	}
 }
@@ -756,37 +756,37 @@
 func TestGoneReportedByPeer(t *testing.T) {
 	i := is.New(t)
 	r := registry(3, "a")
-	c := selector.New(selector.DefaultSettings())
+	s := selector.New(selector.DefaultSettings())
 	now := time.Unix(0, 0)
 
 	for _, p := range []discoverer.Process{{ID: "unknown"}, {ID: "t0", Start: startedAt}} {
-		c.ReportGone(now, r, p)
-		i.Equal(len(c.HealthChanges()), 0) // It is not listed.
+		s.ReportGone(now, r, p)
+		i.Equal(len(s.HealthChanges()), 0) // It is not listed.
 	}
 
-	c.ReportGone(now, r, discoverer.Process{ID: "t0"})
-	i.Equal(c.HealthChanges(), []selector.HealthChange{
+	s.ReportGone(now, r, discoverer.Process{ID: "t0"})
+	i.Equal(s.HealthChanges(), []selector.HealthChange{
 		{Cause: selector.TargetGone, Source: selector.Peer, Name: "t0", Process: discoverer.Process{ID: "t0"}, Excluded: true},
 	})
 
-	c.ReportGone(now, r, discoverer.Process{ID: "t0"})
-	c.Start(now, r.Known["t0"])
-	c.Finish(now, r.Known["t0"], selector.Gone)
-	i.Equal(len(c.HealthChanges()), 0) // Already known, so an outcome of its own adds nothing.
+	s.ReportGone(now, r, discoverer.Process{ID: "t0"})
+	s.Start(now, r.Known["t0"])
+	s.Finish(now, r.Known["t0"], selector.Gone)
+	i.Equal(len(s.HealthChanges()), 0) // Already known, so an outcome of its own adds nothing.
 
 	for n := range uint64(50) {
-		o, ok := c.Choose(now, r, group, query(n))
+		o, ok := s.Choose(now, r, group, query(n))
 		i.True(ok)
 		i.True(o.Target.ID != "t0")
 	}
 
-	i.Equal(len(c.HealthChanges()), 0)
+	i.Equal(len(s.HealthChanges()), 0)
 
 	// When the exclusion is over, it is readmitted like one that this instance excluded itself.
 	now = now.Add(time.Minute)
-	c.Start(now, r.Known["t0"])
-	c.Finish(now, r.Known["t0"], selector.Answered)
-	i.Equal(c.HealthChanges(), []selector.HealthChange{
+	s.Start(now, r.Known["t0"])
+	s.Finish(now, r.Known["t0"], selector.Answered)
+	i.Equal(s.HealthChanges(), []selector.HealthChange{
 		{Cause: selector.TargetGone, Source: selector.Own, Name: "t0", Process: discoverer.Process{ID: "t0"}},
 	})
 }
--- a/internal/selector/update.go
+++ b/internal/selector/update.go
@@ -8,7 +8,7 @@
 )
 
 // callFinishedAge is the age of a load report from which the call that carried it is assumed to have finished.
-// A call takes some hundred milliseconds.
+// A call takes a few hundred milliseconds.
 const callFinishedAge = 500 * time.Millisecond
 
 // Update holds the placements and load reports that instances send to each other.
@@ -20,42 +20,42 @@
 // ApplyUpdate applies another instance's update for the processes of a registry. Entries for other processes, and
 // for names that two processes share, are ignored: they may refer to an earlier process that the other
 // instance does not know to have ended.
-func (c *Selector) ApplyUpdate(now time.Time, r *discoverer.Registry, n Update) {
+func (s *Selector) ApplyUpdate(now time.Time, r *discoverer.Registry, n Update) {
 	for _, p := range n.Placements {
 		if t, ok := r.Names[p.Target]; ok {
-			c.placements.recordPeer(now, p.Key, t.Key())
+			s.placements.recordPeer(now, p.Key, t.Key())
 		}
 	}
 
 	for _, l := range n.Loads {
 		if t, ok := r.Names[l.Target]; ok {
-			c.state(t).report(l.At, l.callsAt(now))
+			s.state(t).report(l.At, l.callsAt(now))
 		}
 	}
 }
 
 // ReportGone applies another instance's notification that a process has been replaced at its address. Another
 // process under the same ID is not affected.
-func (c *Selector) ReportGone(now time.Time, r *discoverer.Registry, p discoverer.Process) {
-	if t, ok := r.Processes[p.Key()]; ok && !c.state(t).unlisted {
-		c.health.reportGone(now, t)
+func (s *Selector) ReportGone(now time.Time, r *discoverer.Registry, p discoverer.Process) {
+	if t, ok := r.Processes[p.Key()]; ok && !s.state(t).unlisted {
+		s.health.reportGone(now, t)
 	}
 }
 
 // PendingUpdate returns the pending update for other instances and clears it: placements that they may not know and the
 // latest load report of each target.
-func (c *Selector) PendingUpdate() Update {
-	n := Update{Placements: c.placements.drain()}
-	k := make(map[discoverer.Name]bool, len(c.loads))
+func (s *Selector) PendingUpdate() Update {
+	n := Update{Placements: s.placements.drain()}
+	k := make(map[discoverer.Name]bool, len(s.loads))
 
-	for _, l := range slices.Backward(c.loads) {
+	for _, l := range slices.Backward(s.loads) {
 		if !k[l.Target] {
 			k[l.Target] = true
 			n.Loads = append(n.Loads, l)
 		}
 	}
 
-	c.loads = nil
+	s.loads = nil
 
 	return n
 }
--- a/internal/supervisor/handlers.go
+++ b/internal/supervisor/handlers.go
@@ -17,23 +17,23 @@
 }
 
 // Register registers the handlers for messages of other routers.
-func (k *Supervisor) Register(r registry) {
-	r.Handle(wire.KindSlotRequest, k.handleReserve)
-	r.Handle(wire.KindRelease, oneWay(func(from uint64, w *wire.Release) { k.Release(time.Now(), from, *w) }))
-	r.Handle(wire.KindReport, oneWay(func(_ uint64, w *wire.Report) { k.Report(time.Now(), *w) }))
-	r.Handle(wire.KindBackoff, oneWay(func(_ uint64, w *wire.Backoff) { k.BackOff(time.Now(), *w) }))
-	r.Handle(wire.KindSync, oneWay(func(from uint64, w *wire.Sync) { k.Sync(time.Now(), from, *w) }))
-	r.Handle(wire.KindCellLoad, oneWay(func(_ uint64, w *wire.CellLoad) { k.ReportCell(time.Now(), *w) }))
-	r.Handle(wire.KindHandOver, oneWay(func(from uint64, w *wire.HandOver) { k.HandOver(time.Now(), from, *w) }))
+func (s *Supervisor) Register(r registry) {
+	r.Handle(wire.KindSlotRequest, s.handleReserve)
+	r.Handle(wire.KindRelease, oneWay(func(from uint64, w *wire.Release) { s.Release(time.Now(), from, *w) }))
+	r.Handle(wire.KindReport, oneWay(func(_ uint64, w *wire.Report) { s.Report(time.Now(), *w) }))
+	r.Handle(wire.KindBackoff, oneWay(func(_ uint64, w *wire.Backoff) { s.StartBackoff(time.Now(), *w) }))
+	r.Handle(wire.KindSync, oneWay(func(from uint64, w *wire.Sync) { s.Sync(time.Now(), from, *w) }))
+	r.Handle(wire.KindCellLoad, oneWay(func(_ uint64, w *wire.CellLoad) { s.ReportCell(time.Now(), *w) }))
+	r.Handle(wire.KindHandOver, oneWay(func(from uint64, w *wire.HandOver) { s.HandOver(time.Now(), from, *w) }))
 }
 
-func (k *Supervisor) handleReserve(_ context.Context, from uint64, b []byte) (msgp.Marshaler, error) {
+func (s *Supervisor) handleReserve(_ context.Context, from uint64, b []byte) (msgp.Marshaler, error) {
 	var w wire.SlotRequest
 	if _, err := w.UnmarshalMsg(b); err != nil {
 		return nil, errors.Mark(err, ErrMessage)
 	}
 
-	v, err := k.Reserve(time.Now(), from, w)
+	v, err := s.Reserve(time.Now(), from, w)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/supervisor/home.go
+++ b/internal/supervisor/home.go
@@ -25,40 +25,40 @@
 }
 
 // Update applies a new configuration to all cells, and drops those that are not in it.
-func (k *Supervisor) Update(f *follower.Config) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (s *Supervisor) Update(f *follower.Config) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 
-	for id, h := range k.homes {
+	for id, h := range s.homes {
 		x := f.Matcher.Cell(id)
 		if x == nil {
-			delete(k.homes, id)
+			delete(s.homes, id)
 
 			continue
 		}
 
 		h.mu.Lock()
-		k.update(h, f, x)
+		s.update(h, f, x)
 		h.mu.Unlock()
 	}
 }
 
 // update applies a configuration to one cell. It also applies the states from the platform's
 // registry, which may have changed while a target was not in the cell. The caller holds both locks.
-func (k *Supervisor) update(h *home, f *follower.Config, x *matcher.Cell) {
+func (s *Supervisor) update(h *home, f *follower.Config, x *matcher.Cell) {
 	h.granter.Update(targets(x), limits(f.Matcher))
 
 	for _, t := range x.Targets {
-		h.granter.Report(time.Now(), t.ID, -1, k.states.Get(t.ID))
+		h.granter.Report(time.Now(), t.ID, -1, s.states.Get(t.ID))
 	}
 }
 
-func (k *Supervisor) snapshot() map[uint32]*home {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (s *Supervisor) snapshot() map[uint32]*home {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 
-	o := make(map[uint32]*home, len(k.homes))
-	for id, h := range k.homes {
+	o := make(map[uint32]*home, len(s.homes))
+	for id, h := range s.homes {
 		o[id] = h
 	}
 
@@ -67,8 +67,8 @@
 
 // withCell calls f with a cell under its lock. Messages for a cell that is not in the configuration in
 // force are dropped, since their sender uses another revision.
-func (k *Supervisor) withCell(now time.Time, cell uint32, f func(h *home)) {
-	h, err := k.home(now, k.force(), cell)
+func (s *Supervisor) withCell(now time.Time, cell uint32, f func(h *home)) {
+	h, err := s.home(now, s.force(), cell)
 	if err != nil {
 		return
 	}
@@ -80,11 +80,11 @@
 }
 
 // home returns the state of a cell, which it creates on first use. It fails with ErrUnknownCell.
-func (k *Supervisor) home(now time.Time, f *follower.Config, cell uint32) (*home, error) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (s *Supervisor) home(now time.Time, f *follower.Config, cell uint32) (*home, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 
-	if h, ok := k.homes[cell]; ok {
+	if h, ok := s.homes[cell]; ok {
 		return h, nil
 	}
 
@@ -94,9 +94,9 @@
 	}
 
 	r := rand.New(rand.NewPCG(rand.Uint64(), uint64(cell))) //nolint:gosec // Jitter.
-	h := &home{granter: granter.New(k.settings, r), lastUsed: now}
-	k.update(h, f, x)
-	k.homes[cell] = h
+	h := &home{granter: granter.New(s.settings, r), lastUsed: now}
+	s.update(h, f, x)
+	s.homes[cell] = h
 
 	return h, nil
 }
--- a/internal/supervisor/notifier.go
+++ b/internal/supervisor/notifier.go
@@ -34,13 +34,13 @@
 
 // replicate sends the cell's new placements to its next home. Without this, a home that is killed
 // would cost its chats their prompt caches where callers return no token.
-func (k *Supervisor) replicate(x *matcher.Cell, h *home) {
+func (s *Supervisor) replicate(x *matcher.Cell, h *home) {
 	h.mu.Lock()
 	l := h.granter.ChangedPlacements(maxNewPlacements, maxRepeatedPlacements)
 	h.mu.Unlock()
 
 	if len(l) > 0 {
-		k.notifier.Replicate(x, wire.HandOver{Cell: x.ID, Placements: wirePlacements(l)})
+		s.notifier.Replicate(x, wire.HandOver{Cell: x.ID, Placements: wirePlacements(l)})
 	}
 }
 
@@ -58,10 +58,10 @@
 // start of a router would cost the chats of these cells their prompt caches. The next home of a
 // cell also hands over the placements that were replicated to it, if the cell's home failed and a
 // new process became the home instead.
-func (k *Supervisor) handOver(x *matcher.Cell, to uint64) {
-	k.mu.Lock()
-	h, ok := k.homes[x.ID]
-	k.mu.Unlock()
+func (s *Supervisor) handOver(x *matcher.Cell, to uint64) {
+	s.mu.Lock()
+	h, ok := s.homes[x.ID]
+	s.mu.Unlock()
 
 	if !ok {
 		return
@@ -84,7 +84,7 @@
 	h.mu.Unlock()
 
 	if len(l) > 0 {
-		k.notifier.HandOver(x, wire.HandOver{Cell: x.ID, Placements: wirePlacements(l)})
+		s.notifier.HandOver(x, wire.HandOver{Cell: x.ID, Placements: wirePlacements(l)})
 	}
 }
 
@@ -98,7 +98,7 @@
 }
 
 // reportLoad reports a cell's load to the homes of the pool's other cells.
-func (k *Supervisor) reportLoad(now time.Time, m *matcher.Matcher, x *matcher.Cell, h *home) {
+func (s *Supervisor) reportLoad(now time.Time, m *matcher.Matcher, x *matcher.Cell, h *home) {
 	l := m.Siblings(x)
 	if len(l) == 0 {
 		return
@@ -109,6 +109,6 @@
 	h.mu.Unlock()
 
 	for _, y := range l {
-		k.notifier.ReportCellLoad(y, wire.CellLoad{From: x.ID, To: y.ID, MilliRequests: uint64(a * unitsPerRequest), Weight: uint32(w)})
+		s.notifier.ReportCellLoad(y, wire.CellLoad{From: x.ID, To: y.ID, MilliRequests: uint64(a * unitsPerRequest), Weight: uint32(w)})
 	}
 }
--- a/internal/supervisor/placement.go
+++ b/internal/supervisor/placement.go
@@ -7,10 +7,10 @@
 )
 
 // PlacementCount returns the number of placements in all cells.
-func (k *Supervisor) PlacementCount() int {
+func (s *Supervisor) PlacementCount() int {
 	n := 0
 
-	for _, h := range k.snapshot() {
+	for _, h := range s.snapshot() {
 		h.mu.Lock()
 		n += h.granter.Placements().Len()
 		h.mu.Unlock()
@@ -20,8 +20,8 @@
 }
 
 // EachCell calls f with the identifier and the placements of each cell.
-func (k *Supervisor) EachCell(f func(cell uint32, l []wire.Placement)) {
-	for id, h := range k.snapshot() {
+func (s *Supervisor) EachCell(f func(cell uint32, l []wire.Placement)) {
+	for id, h := range s.snapshot() {
 		h.mu.Lock()
 		l, _ := h.granter.Placements().Scan(0, math.MaxInt)
 		h.mu.Unlock()
--- a/internal/supervisor/probe.go
+++ b/internal/supervisor/probe.go
@@ -23,7 +23,7 @@
 	// Requests is the number of requests at the target; negative when it reports none.
 	Requests int
 	State    tracker.State
-	// Backoff is the backoff that the target asks for; zero means none.
+	// Backoff is the backoff that the target requests; zero means none.
 	Backoff time.Duration
 }
 
@@ -38,25 +38,25 @@
 }
 
 // probe probes the cell's targets without recent reports, each in the background.
-func (k *Supervisor) probe(c context.Context, now time.Time, m *matcher.Matcher, h *home) {
+func (s *Supervisor) probe(c context.Context, now time.Time, m *matcher.Matcher, h *home) {
 	h.mu.Lock()
 	l := h.granter.Unreported(now, now.Add(-probeAfter))
 	h.mu.Unlock()
 
 	for _, id := range l {
 		if t := m.Target(id); t != nil {
-			go k.probeOne(c, h, t)
+			go s.probeOne(c, h, t)
 		}
 	}
 }
 
-func (k *Supervisor) probeOne(c context.Context, h *home, t *matcher.Target) {
+func (s *Supervisor) probeOne(c context.Context, h *home, t *matcher.Target) {
 	x, stop := context.WithTimeout(c, probeTimeout)
 	defer stop()
 
 	b := time.Now()
 
-	r, err := k.prober.Probe(x, t.Address)
+	r, err := s.prober.Probe(x, t.Address)
 	if c.Err() != nil {
 		return
 	}
@@ -64,7 +64,7 @@
 	// A probe that timed out while this process was stalled is no evidence against the target,
 	// which may have answered. Three such stalls would exclude healthy targets, so the result is
 	// left to the next probe.
-	if detector.TimedOut(err) && k.stallMonitor.Stalled(b) {
+	if detector.TimedOut(err) && s.stallMonitor.Stalled(b) {
 		return
 	}
 
--- a/internal/supervisor/request.go
+++ b/internal/supervisor/request.go
@@ -13,10 +13,10 @@
 )
 
 // Reserve decides on the request of an entry router to reserve a slot. It fails with ErrUnknownCell.
-func (k *Supervisor) Reserve(now time.Time, entry uint64, w wire.SlotRequest) (wire.SlotReply, error) {
-	f := k.force()
+func (s *Supervisor) Reserve(now time.Time, entry uint64, w wire.SlotRequest) (wire.SlotReply, error) {
+	f := s.force()
 
-	h, err := k.home(now, f, w.Cell)
+	h, err := s.home(now, f, w.Cell)
 	if err != nil {
 		return wire.SlotReply{}, err
 	}
@@ -50,8 +50,8 @@
 }
 
 // Release releases the slot of a grant and records the outcome of the call.
-func (k *Supervisor) Release(now time.Time, entry uint64, w wire.Release) {
-	k.withCell(now, w.Cell, func(h *home) {
+func (s *Supervisor) Release(now time.Time, entry uint64, w wire.Release) {
+	s.withCell(now, w.Cell, func(h *home) {
 		h.granter.Release(now, granter.ID{Entry: entry, Seq: w.Seq}, granter.Outcome{
 			OK: w.OK, NeverSent: w.NeverSent,
 		})
@@ -59,21 +59,21 @@
 }
 
 // Report applies a target's load and state as reported by an entry router.
-func (k *Supervisor) Report(now time.Time, w wire.Report) {
-	k.withCell(now, w.Cell, func(h *home) {
+func (s *Supervisor) Report(now time.Time, w wire.Report) {
+	s.withCell(now, w.Cell, func(h *home) {
 		h.granter.Report(now, w.Target, int(w.Requests), tracker.State{Incarnation: w.Incarnation, Leaving: w.Leaving})
 	})
 }
 
-// BackOff starts the backoff of a target that has asked an entry router for one.
-func (k *Supervisor) BackOff(now time.Time, w wire.Backoff) {
-	k.withCell(now, w.Cell, func(h *home) {
-		h.granter.BackOff(now, w.Target, time.Duration(w.DurationMs)*time.Millisecond)
+// StartBackoff starts the backoff of a target that has requested one from an entry router.
+func (s *Supervisor) StartBackoff(now time.Time, w wire.Backoff) {
+	s.withCell(now, w.Cell, func(h *home) {
+		h.granter.StartBackoff(now, w.Target, time.Duration(w.DurationMs)*time.Millisecond)
 	})
 }
 
 // Sync reconciles the grants in a cell with an entry router's list of its own.
-func (k *Supervisor) Sync(now time.Time, entry uint64, w wire.Sync) {
+func (s *Supervisor) Sync(now time.Time, entry uint64, w wire.Sync) {
 	l := make([]granter.Grant, len(w.Grants))
 	for i, g := range w.Grants {
 		l[i] = granter.Grant{
@@ -81,41 +81,41 @@
 		}
 	}
 
-	k.withCell(now, w.Cell, func(h *home) {
+	s.withCell(now, w.Cell, func(h *home) {
 		h.granter.Sync(now, entry, w.UpTo, l)
 	})
 }
 
 // ObserveInstance applies a target's state from the platform's registry.
-func (k *Supervisor) ObserveInstance(i recorder.Instance) {
-	k.Observe(hasher.Name(i.Name), tracker.State{Incarnation: i.Incarnation, Leaving: i.Leaving || i.Gone})
+func (s *Supervisor) ObserveInstance(i recorder.Instance) {
+	s.Observe(hasher.Name(i.Name), tracker.State{Incarnation: i.Incarnation, Leaving: i.Leaving || i.Gone})
 }
 
 // Observe applies a target's state from a source other than an answer to all cells.
-func (k *Supervisor) Observe(target uint32, s tracker.State) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (s *Supervisor) Observe(target uint32, x tracker.State) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 
-	k.states.Observe(target, s)
+	s.states.Observe(target, x)
 
-	for _, h := range k.homes {
+	for _, h := range s.homes {
 		h.mu.Lock()
-		h.granter.Report(time.Now(), target, -1, s)
+		h.granter.Report(time.Now(), target, -1, x)
 		h.mu.Unlock()
 	}
 }
 
 // ReportCell applies the load report of another cell of the pool.
-func (k *Supervisor) ReportCell(now time.Time, w wire.CellLoad) {
-	k.withCell(now, w.To, func(h *home) {
+func (s *Supervisor) ReportCell(now time.Time, w wire.CellLoad) {
+	s.withCell(now, w.To, func(h *home) {
 		h.granter.ReportCell(now, w.From, float64(w.MilliRequests)/unitsPerRequest, float64(w.Weight))
 	})
 }
 
 // HandOver records placements of a cell that its former home hands over, or that its home
 // replicates for the case that it fails.
-func (k *Supervisor) HandOver(now time.Time, from uint64, w wire.HandOver) {
-	k.withCell(now, w.Cell, func(h *home) {
+func (s *Supervisor) HandOver(now time.Time, from uint64, w wire.HandOver) {
+	s.withCell(now, w.Cell, func(h *home) {
 		h.holder = from
 
 		for _, p := range w.Placements {
--- a/internal/supervisor/stall_test.go
+++ b/internal/supervisor/stall_test.go
@@ -95,11 +95,11 @@
 				i := is.New(t)
 				f, p := configuration(3), newProcess()
 				o := &partlyMute{peersAndTargets: &peersAndTargets{}, mute: f.Matcher.Target(hasher.Name("e0")).Address}
-				k := supervisor.New(granter.DefaultSettings(), self, func() *follower.Config { return f }, o, o, p)
+				s := supervisor.New(granter.DefaultSettings(), self, func() *follower.Config { return f }, o, o, p)
 
 				c, stop := context.WithCancel(t.Context())
 				go p.run(c)
-				go k.Run(c, func(*matcher.Cell) uint64 { return self })
+				go s.Run(c, func(*matcher.Cell) uint64 { return self })
 
 				time.Sleep(lead)
 
@@ -115,7 +115,7 @@
 				used := false
 
 				for n := range uint32(6) {
-					v, err := k.Reserve(time.Now(), 1, request(f, n+1))
+					v, err := s.Reserve(time.Now(), 1, request(f, n+1))
 					i.NoErr(err)
 
 					used = used || v.Target == hasher.Name("e0")
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -57,14 +57,14 @@
 
 // Run sweeps the cells periodically until the context ends. The function returns the identifier of
 // a cell's home.
-func (k *Supervisor) Run(c context.Context, home func(*matcher.Cell) uint64) {
+func (s *Supervisor) Run(c context.Context, home func(*matcher.Cell) uint64) {
 	t := time.NewTicker(sweepInterval)
 	defer t.Stop()
 
 	for {
 		select {
 		case <-t.C:
-			k.sweep(c, home)
+			s.sweep(c, home)
 		case <-c.Done():
 			return
 		}
@@ -74,35 +74,35 @@
 // sweep probes targets without recent reports, reports the load and replicates placements of the
 // cells that this router is the home of, hands over the placements of others, expires grants and
 // drops unused cells.
-func (k *Supervisor) sweep(c context.Context, home func(*matcher.Cell) uint64) {
+func (s *Supervisor) sweep(c context.Context, home func(*matcher.Cell) uint64) {
 	n := time.Now()
-	f := k.force()
+	f := s.force()
 
 	for _, x := range f.Matcher.Cells() {
-		if y := home(x); y != k.self {
-			k.handOver(x, y)
+		if y := home(x); y != s.self {
+			s.handOver(x, y)
 
 			continue
 		}
 
-		if h, err := k.home(n, f, x.ID); err == nil {
+		if h, err := s.home(n, f, x.ID); err == nil {
 			h.markOwned()
-			k.probe(c, n, f.Matcher, h)
-			k.reportLoad(n, f.Matcher, x, h)
-			k.replicate(x, h)
+			s.probe(c, n, f.Matcher, h)
+			s.reportLoad(n, f.Matcher, x, h)
+			s.replicate(x, h)
 		}
 	}
 
-	for id, h := range k.snapshot() {
+	for id, h := range s.snapshot() {
 		h.mu.Lock()
 		h.granter.Expire(n)
 		u := n.Sub(h.lastUsed) > cellTimeout && h.granter.Len() == 0
 		h.mu.Unlock()
 
-		if x := f.Matcher.Cell(id); u && (x == nil || home(x) != k.self) {
-			k.mu.Lock()
-			delete(k.homes, id)
-			k.mu.Unlock()
+		if x := f.Matcher.Cell(id); u && (x == nil || home(x) != s.self) {
+			s.mu.Lock()
+			delete(s.homes, id)
+			s.mu.Unlock()
 		}
 	}
 }
--- a/internal/supervisor/supervisor_test.go
+++ b/internal/supervisor/supervisor_test.go
@@ -212,7 +212,7 @@
 
 // Guards against new calls to a busy target that is leaving. Answers that began before it was
 // leaving complete all the time, and new ones take long; the home must receive its state within
-// three seconds all the same.
+// three seconds nevertheless.
 func TestBusyTargetIsLeaving(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		i := is.New(t)
--- a/internal/suppressor/suppressor.go
+++ b/internal/suppressor/suppressor.go
@@ -1,8 +1,8 @@
-// Package suppressor decides which targets an instance sends no calls to, because they refused one and asked for a
+// Package suppressor decides which targets an instance sends no calls to, because they refused one and requested a
 // backoff, as with a Retry-After header.
 //
-// Load pattern: a few of many engines are overloaded and refuse every call, stating how long they want none.
-// The calls whose prompts they have cached return to them again and again, since they appear idle, and each
+// Load pattern: a few of many engines are overloaded and refuse every call, stating for how long they accept none.
+// The calls whose prompts they have cached return to them repeatedly, since they appear idle, and each
 // costs its caller an attempt. When the backoff expires, all waiting calls would arrive at once and overload
 // the engines again.
 //
@@ -28,7 +28,7 @@
 	retention = time.Minute
 )
 
-// backoff is the state of a target that has asked for no calls.
+// backoff is the state of a target that has requested no calls.
 type backoff struct {
 	until time.Time
 	// sent counts the calls sent after expiry, the latest of them at lastSent. answered counts the answers
@@ -85,8 +85,8 @@
 	}
 }
 
-// Sent counts a call that is sent to a target.
-func (s *Suppressor[K]) Sent(now time.Time, k K) {
+// RecordSent counts a call that is sent to a target.
+func (s *Suppressor[K]) RecordSent(now time.Time, k K) {
 	if r, ok := s.backoffs[k]; ok {
 		r.sent++
 		r.lastSent = now
@@ -100,9 +100,9 @@
 	}
 }
 
-// Answered records that a target has begun to answer a call. Answers during a backoff, or to calls sent before
+// RecordAnswer records that a target has begun to answer a call. Answers during a backoff, or to calls sent before
 // it expired, are ignored: they do not show that the target has recovered.
-func (s *Suppressor[K]) Answered(now time.Time, k K) {
+func (s *Suppressor[K]) RecordAnswer(now time.Time, k K) {
 	r, ok := s.backoffs[k]
 	if !ok || now.Before(r.until) || r.sent == r.answered {
 		return
--- a/internal/suppressor/suppressor_test.go
+++ b/internal/suppressor/suppressor_test.go
@@ -57,16 +57,16 @@
 	s.StartBackoff(b, target, time.Second)
 
 	// An answer to a call sent before the backoff expired is ignored.
-	s.Answered(b.Add(500*time.Millisecond), target)
+	s.RecordAnswer(b.Add(500*time.Millisecond), target)
 
 	n := b.Add(time.Second)
-	s.Answered(n, target)
+	s.RecordAnswer(n, target)
 
 	// concurrent returns how many calls may be sent at once.
 	concurrent := func() int {
 		o := 0
 		for ; s.Wait(n, target) == 0 && o < 100; o++ {
-			s.Sent(n, target)
+			s.RecordSent(n, target)
 		}
 
 		return o
@@ -75,12 +75,12 @@
 	i.Equal(concurrent(), 1)
 	i.True(s.Wait(n, target) > 0)
 	i.True(!s.InBackoff(n, target))
-	s.Answered(n, target)
+	s.RecordAnswer(n, target)
 	i.Equal(concurrent(), 2)
-	s.Answered(n, target)
-	s.Answered(n, target)
+	s.RecordAnswer(n, target)
+	s.RecordAnswer(n, target)
 	i.Equal(concurrent(), 4)
-	s.Answered(n, target)
+	s.RecordAnswer(n, target)
 	i.Equal(concurrent(), 100)
 }
 
@@ -102,7 +102,7 @@
 			s.StartBackoff(n, target, time.Second)
 
 			n = n.Add(time.Second)
-			s.Sent(n, target)
+			s.RecordSent(n, target)
 			x.outcome(s)
 
 			i.Equal(s.Wait(n.Add(x.want), target), time.Duration(0))
@@ -114,7 +114,7 @@
 	}
 }
 
-// Guards against memory that grows with each target that ever asked for a backoff.
+// Guards against memory that grows with each target that ever requested a backoff.
 func TestExpiredBackoffsAreDropped(t *testing.T) {
 	i := is.New(t)
 	n := time.Unix(1000, 0)
