--- a/internal/cataloger/cataloger.go
+++ b/internal/cataloger/cataloger.go
@@ -13,8 +13,8 @@
 // Group is a set of targets that serve the same calls.
 type Group struct {
 	Name string
-	// ColdFor is how long a target is cold after its start, and ColdRate how many calls a second
-	// it can serve meanwhile; zero sets no bound.
+	// ColdFor is how long a target is cold after its start, and ColdRate how many calls per second
+	// a cold target can serve; a ColdRate of zero sets no bound.
 	ColdFor  time.Duration
 	ColdRate float64
 }
@@ -68,9 +68,12 @@
 	Version uint64
 	Limits  Limits
 
-	keyed     bool
-	hosts     map[string][]*Rule
-	groups    map[string]*Group
+	// hasCustomers reports whether the document has customers, with or without keys.
+	hasCustomers bool
+	// hosts holds the rules by host in lower case, those with the longest prefix first.
+	hosts  map[string][]*Rule
+	groups map[string]*Group
+	// customers holds the customers by API key.
 	customers map[string]*Customer
 }
 
@@ -78,7 +81,7 @@
 // a document takes effect as a whole or not at all.
 func New(d Document) (*Catalog, error) {
 	c := &Catalog{
-		Version: d.Version, Limits: d.Limits, keyed: len(d.Customers) > 0,
+		Version: d.Version, Limits: d.Limits, hasCustomers: len(d.Customers) > 0,
 		hosts: make(map[string][]*Rule), groups: make(map[string]*Group), customers: make(map[string]*Customer),
 	}
 
@@ -226,8 +229,8 @@
 	return x, ok
 }
 
-// RequiresKey reports whether callers need a key, which is so when the catalog has customers, also
-// if none of them has a key: removing the last key must not admit all callers.
+// RequiresKey reports whether callers need a key. They do when the catalog has customers, even if
+// no customer has a key: the removal of the last key must not admit all callers.
 func (c *Catalog) RequiresKey() bool {
-	return c.keyed
+	return c.hasCustomers
 }
--- a/internal/cataloger/cataloger_test.go
+++ b/internal/cataloger/cataloger_test.go
@@ -82,28 +82,28 @@
 		change  func(d *document)
 		invalid bool
 	}{
-		"valid":                 {func(*document) {}, false},
-		"zero attempts":         {first(func(r *cataloger.Rule) { r.Attempts = 0 }), false},
-		"rules without names":   {func(d *document) { d.Rules[0].Name, d.Rules[1].Name = "", "" }, false},
-		"key twice in customer": {func(d *document) { d.Customers[0].Keys = []string{"k1", "k1"} }, false},
-		"duplicate group":       {func(d *document) { d.Groups = append(d.Groups, d.Groups[0]) }, true},
-		"group without a name":  {func(d *document) { d.Groups = append(d.Groups, cataloger.Group{}) }, true},
-		"duplicate rule":        {func(d *document) { d.Rules[1].Name = d.Rules[0].Name }, true},
-		"negative weight":       {first(func(r *cataloger.Rule) { r.Shares[0].Weight = -1 }), true},
-		"negative attempts":     {first(func(r *cataloger.Rule) { r.Attempts = -1 }), true},
-		"negative priority":     {first(func(r *cataloger.Rule) { r.Priority = -1 }), true},
-		"negative timeout":      {first(func(r *cataloger.Rule) { r.Timeout = -1 }), true},
-		"negative latency":      {first(func(r *cataloger.Rule) { r.Latency = -1 }), true},
-		"negative event gap":    {first(func(r *cataloger.Rule) { r.MaxEventGap = -1 }), true},
-		"negative body size":    {func(d *document) { d.Limits.MaxBody = -1 }, true},
-		"negative header size":  {func(d *document) { d.Limits.MaxHeader = -1 }, true},
-		"negative header time":  {func(d *document) { d.Limits.HeaderTimeout = -1 }, true},
-		"negative idle time":    {func(d *document) { d.Limits.IdleTimeout = -1 }, true},
-		"duplicate customer":    {func(d *document) { d.Customers[1].Name = "a" }, true},
-		"customer without name": {func(d *document) { d.Customers[1].Name = "" }, true},
-		"key of two customers":  {func(d *document) { d.Customers[1].Keys = []string{"k2", "k1"} }, true},
-		"empty key":             {func(d *document) { d.Customers[1].Keys = []string{""} }, true},
-		"negative rank":         {func(d *document) { d.Customers[1].Priority = -1 }, true},
+		"valid":                      {func(*document) {}, false},
+		"zero attempts":              {first(func(r *cataloger.Rule) { r.Attempts = 0 }), false},
+		"rules without names":        {func(d *document) { d.Rules[0].Name, d.Rules[1].Name = "", "" }, false},
+		"key twice in customer":      {func(d *document) { d.Customers[0].Keys = []string{"k1", "k1"} }, false},
+		"duplicate group":            {func(d *document) { d.Groups = append(d.Groups, d.Groups[0]) }, true},
+		"group without a name":       {func(d *document) { d.Groups = append(d.Groups, cataloger.Group{}) }, true},
+		"duplicate rule":             {func(d *document) { d.Rules[1].Name = d.Rules[0].Name }, true},
+		"negative weight":            {first(func(r *cataloger.Rule) { r.Shares[0].Weight = -1 }), true},
+		"negative attempts":          {first(func(r *cataloger.Rule) { r.Attempts = -1 }), true},
+		"negative rule priority":     {first(func(r *cataloger.Rule) { r.Priority = -1 }), true},
+		"negative timeout":           {first(func(r *cataloger.Rule) { r.Timeout = -1 }), true},
+		"negative latency":           {first(func(r *cataloger.Rule) { r.Latency = -1 }), true},
+		"negative event gap":         {first(func(r *cataloger.Rule) { r.MaxEventGap = -1 }), true},
+		"negative body size":         {func(d *document) { d.Limits.MaxBody = -1 }, true},
+		"negative header size":       {func(d *document) { d.Limits.MaxHeader = -1 }, true},
+		"negative header time":       {func(d *document) { d.Limits.HeaderTimeout = -1 }, true},
+		"negative idle time":         {func(d *document) { d.Limits.IdleTimeout = -1 }, true},
+		"duplicate customer":         {func(d *document) { d.Customers[1].Name = "a" }, true},
+		"customer without name":      {func(d *document) { d.Customers[1].Name = "" }, true},
+		"key of two customers":       {func(d *document) { d.Customers[1].Keys = []string{"k2", "k1"} }, true},
+		"empty key":                  {func(d *document) { d.Customers[1].Keys = []string{""} }, true},
+		"negative customer priority": {func(d *document) { d.Customers[1].Priority = -1 }, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -121,8 +121,8 @@
 	}
 }
 
-// Guards against calls without a key after the last key of the last customer is removed: a
-// catalog without keys must not count as one without customers.
+// Guards against callers that are admitted without a key once the last key of the last customer
+// is removed: a catalog without keys must not count as one without customers.
 func TestCustomersWithoutKeysAdmitNobody(t *testing.T) {
 	is := is.New(t)
 
--- a/internal/cataloger/rule.go
+++ b/internal/cataloger/rule.go
@@ -46,8 +46,8 @@
 	// Latency is the latency objective: the time within which an answer, or the first event
 	// of a stream, is of full use to the caller. Zero sets none.
 	Latency time.Duration
-	// MaxEventGap is the longest time between two events of a stream that is of full use to the
-	// caller. Zero sets none.
+	// MaxEventGap is the longest time between two events with which a stream is of full use to
+	// the caller. Zero sets no bound.
 	MaxEventGap time.Duration
 	// Attempts is the most attempts of one call, at least one.
 	Attempts int
--- a/internal/claimer/claimer.go
+++ b/internal/claimer/claimer.go
@@ -5,8 +5,8 @@
 // partition's home (home node) can't both win.
 //
 // A router appends its claim before it sends the call (write-ahead intent), so that after
-// a crash other routers can read that the call may have run. See the note "Commit the
-// Intent, Then Touch the Cluster"; here the log replaces its database.
+// the router has crashed, others can read that the call may have run. See the note "Commit
+// the Intent, Then Touch the Cluster"; here the log replaces the note's database.
 package claimer
 
 import "time"
@@ -18,7 +18,7 @@
 const (
 	// Unclaimed means that no claim on the key is known.
 	Unclaimed Outcome = iota
-	// Won means that the requester's claim holds the key, so that its call may be sent.
+	// Won means that the claim that is looked up holds the key, so that its call may be sent.
 	Won
 	// InProgress means that another claim holds the key and may still run.
 	InProgress
@@ -62,16 +62,18 @@
 }
 
 type claim struct {
-	id       uint64
-	body     uint64
-	appended time.Time
-	ends     time.Time
-	settled  Outcome
-	answer   Answer
+	id         uint64
+	body       uint64
+	appendedAt time.Time
+	// expiresAt is the end of the claim's lifetime.
+	expiresAt time.Time
+	settled   Outcome
+	answer    Answer
 }
 
 // Claimer tracks the claims of one partition. It is not safe for concurrent use.
 type Claimer struct {
+	// window is how long a key is retained after its claim.
 	window     time.Duration
 	claims     map[uint64]*claim
 	nextOffset uint64
@@ -96,7 +98,7 @@
 
 	if r.Settled == Unclaimed {
 		if !ok || o.settled == NotRun {
-			c.claims[r.Key] = &claim{id: r.ID, body: r.Body, appended: appended, ends: appended.Add(r.Lifetime)}
+			c.claims[r.Key] = &claim{id: r.ID, body: r.Body, appendedAt: appended, expiresAt: appended.Add(r.Lifetime)}
 		}
 
 		return
@@ -130,10 +132,10 @@
 		return Mismatch, Answer{}, 0
 	case o.settled == Ran:
 		return Ran, o.answer, 0
-	case o.settled == Unknown || !now.Before(o.ends):
+	case o.settled == Unknown || !now.Before(o.expiresAt):
 		return Unknown, Answer{}, 0
 	default:
-		return InProgress, Answer{}, o.ends.Sub(now)
+		return InProgress, Answer{}, o.expiresAt.Sub(now)
 	}
 }
 
@@ -141,7 +143,7 @@
 // whose calls may still run, also beyond the window: a dropped key would permit a second run.
 func (c *Claimer) Expire(now time.Time) {
 	for k, o := range c.claims {
-		if now.Sub(o.appended) > c.window && !now.Before(o.ends) {
+		if now.Sub(o.appendedAt) > c.window && !now.Before(o.expiresAt) {
 			delete(c.claims, k)
 		}
 	}
--- a/internal/claimer/claimer_test.go
+++ b/internal/claimer/claimer_test.go
@@ -90,9 +90,10 @@
 	i.Equal(o, claimer.InProgress)
 }
 
-// Guards against a call that runs twice. Routers that disagree on the home claim one key
-// through different homes, append twice when replies are lost, and release abandoned claims.
-// At most one claim may hold the key at any offset, and none once the call has run.
+// Guards against a call that runs twice. The random records contain what routers append when
+// they disagree on the home: claims on one key through different homes, duplicates after lost
+// replies, and releases of abandoned claims. At any offset at most one claim may hold the
+// key, and none once the call has run.
 func TestAtMostOneClaimWins(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := claimer.New(time.Hour)
--- a/internal/commander/gateway.go
+++ b/internal/commander/gateway.go
@@ -91,8 +91,8 @@
 	return a, nil
 }
 
-// applySettings applies the settings that may change at run time, and logs the changed ones that take a
-// restart. It fails when the file cannot be parsed.
+// applySettings applies the settings that may change at run time, and logs the changed ones that take effect only
+// after a restart. It fails when the file cannot be parsed.
 func applySettings(b []byte, started gatekeeper.Settings, g *gatekeeper.Gatekeeper, t *platform.Store) error {
 	s, err := platform.ParseSettings(b)
 	if err != nil {
--- a/internal/commander/load.go
+++ b/internal/commander/load.go
@@ -20,7 +20,8 @@
 
 	customers string
 	seed      int
-	output    string
+	// output is the name of the file to which the result is written; empty means none.
+	output string
 }
 
 func (l *load) table() resolver.Table {
--- a/internal/commander/root.go
+++ b/internal/commander/root.go
@@ -76,7 +76,7 @@
 // libraryWriter logs the lines that libraries write to the standard logger.
 //
 // By default these go to standard error, and the write blocks while the reader of standard error
-// is stalled. An HTTP server that logs a failed accept would then stop to accept connections for good.
+// is stalled. An HTTP server that logs a failed accept would then accept no further connections.
 type libraryWriter struct{}
 
 // Write logs a line. It never fails.
--- a/internal/commander/serve.go
+++ b/internal/commander/serve.go
@@ -9,7 +9,8 @@
 )
 
 // startWait is how long a stop waits for a start that is in progress. A start takes a few
-// milliseconds; one that takes longer is blocked, and no calls are served yet.
+// milliseconds. A start that takes longer is blocked; the process serves no calls yet, so it may
+// exit.
 const startWait = time.Second
 
 // serve builds an application, starts it, and stops it once stopping is closed or receives.
--- a/internal/differ/differ.go
+++ b/internal/differ/differ.go
@@ -1,8 +1,8 @@
 // Package differ finds and applies the differences between two documents.
 //
 // A change is transmitted as the entries that it sets and removes, not as the
-// complete document: with 7,600 customers a document is about a megabyte, and
-// 540 complete documents a day would be most of an instance's control traffic.
+// complete document: with 7,600 customers a document is about a megabyte. At 540
+// changes a day, complete documents would be most of an instance's control traffic.
 package differ
 
 import (
--- a/internal/exchanger/exchange.go
+++ b/internal/exchanger/exchange.go
@@ -27,8 +27,8 @@
 	Body  []byte
 	Start time.Time
 
-	// Set by the filter identify. Hint is the target number from the placement token,
-	// Key the idempotency key.
+	// Set by the filter identify. Chat is the hash that identifies the chat, Hint the target's
+	// ID from the placement token, and Key the idempotency key.
 	Customer string
 	Chat     uint64
 	Hint     uint32
@@ -39,16 +39,16 @@
 	// for chat completions.
 	ChatCompletion bool
 	Stream         bool
-	// Prompt is the estimated length of the prompt in tokens.
-	Prompt int
+	// PromptTokens is the estimated length of the prompt in tokens.
+	PromptTokens int
 
 	// Set by the filter match, from the configuration in force.
 	Config *follower.Config
 	Rule   *matcher.Rule
 
-	// Set by the filter isolate. Digest is the same each time that the call is sent.
-	// EndTrial, if not nil, reports the end of the current trial, the one sending of a
-	// suspected call that was admitted.
+	// Set by the filter isolate. Digest is the same each time that a caller sends the call.
+	// EndTrial is not nil while the call is on trial: it is suspected of crashing targets and
+	// was admitted all the same. EndTrial reports the end of the trial.
 	Digest   digester.Digest
 	EndTrial func()
 
--- a/internal/filterer/identify.go
+++ b/internal/filterer/identify.go
@@ -106,7 +106,7 @@
 	x.ChatCompletion = true
 	x.Stream = b.Stream
 	x.Traffic.Model = b.Model
-	x.Prompt = len(x.Body) / bytesPerToken
+	x.PromptTokens = len(x.Body) / bytesPerToken
 	x.Chat = chatKey(x, b.Model, b.Messages)
 	x.Hint = parsePlacementToken(x.Request.Header.Get(exchanger.HeaderPlacement))
 
--- a/internal/filterer/pick.go
+++ b/internal/filterer/pick.go
@@ -45,7 +45,7 @@
 	for i, y := range l[:min(len(l), maxCellsPerAttempt)] {
 		r, err := p.reserve(c, x.Config.Matcher, requester.Request{
 			Cell: y, Rule: x.Rule.ID, Customer: hasher.Name(x.Customer), Chat: x.Chat,
-			Prompt: x.Prompt, Hint: x.Hint, Excluded: x.Excluded,
+			Prompt: x.PromptTokens, Hint: x.Hint, Excluded: x.Excluded,
 		})
 		if err != nil {
 			continue
--- a/internal/follower/follower_test.go
+++ b/internal/follower/follower_test.go
@@ -101,8 +101,8 @@
 	i.Equal(reverts.Load(), int64(0))
 }
 
-// Guards against an instance without a configuration: it starts after the log dropped the
-// changes, and must restore the checkpoint that another instance wrote.
+// Guards against an instance that remains without a configuration because it starts after the
+// log dropped the changes: it must restore the checkpoint that another instance wrote.
 func TestLateStartRestoresCheckpoint(t *testing.T) {
 	i := is.New(t)
 	_, r := newLog(t, 2*time.Second)
--- a/internal/follower/peer.go
+++ b/internal/follower/peer.go
@@ -29,9 +29,10 @@
 }
 
 // CatchUp fetches the configuration from a peer that has reported a newer revision,
-// unless the log delivers it within a second. That is how a data centre that is
-// partitioned from the platform receives changes. It blocks until then; when a
-// fetch is already in progress, it does nothing.
+// unless the log delivers it within a second. In this way a data centre that is
+// partitioned from the platform receives changes. CatchUp blocks until the log or the
+// peer has delivered the configuration, or the fetch has failed. When another call is
+// in progress, it does nothing.
 func (f *Follower) CatchUp(c context.Context, a netip.AddrPort, revision uint64) {
 	f.mu.Lock()
 	b := f.fetching
@@ -63,7 +64,7 @@
 }
 
 // AnswerState handles a peer's wire.StateRequest. The reply is empty when this router has
-// no newer revision, or a gap in its records. It fails with ErrState.
+// no newer revision, or has missed records of the log. It fails with ErrState.
 func (f *Follower) AnswerState(_ context.Context, _ uint64, body []byte) (msgp.Marshaler, error) {
 	var q wire.StateRequest
 	if _, err := q.UnmarshalMsg(body); err != nil {
--- a/internal/matcher/cell.go
+++ b/internal/matcher/cell.go
@@ -7,10 +7,10 @@
 	"github.com/auburntray/auburntray/internal/hasher"
 )
 
-// minCell is the number of a pool's targets from which a data centre has cells of its own.
-// Smaller data centres of a region share cells: with few targets the mean load is coarse, and
-// the bound would refuse slots that the region still has.
-const minCell = 8
+// minCellTargets is the least number of a pool's targets with which a data centre has cells of
+// its own. Smaller data centres of a region share cells: with few targets the mean load is
+// coarse, and the load bound would refuse slots although targets in the region have free ones.
+const minCellTargets = 8
 
 // Cell is a set of targets whose load is counted by one instance, the cell's home (home
 // node). Every target belongs to exactly one cell, so that exactly one instance at a time
@@ -19,16 +19,17 @@
 	ID     uint32
 	Name   string
 	Region string
-	// Pool is the name of the pool that the cell belongs to.
+	// Pool is the name of the pool that the cell belongs to. Rules with a common target, directly
+	// or through other rules, form one pool.
 	Pool string
 	// DataCentres are the data centres of the cell's targets, sorted by name.
 	DataCentres []string
 	Targets     []*Target
 }
 
-// Ranked returns the cells with targets of a rule in the order in which a chat tries them:
-// first the cells of the caller's region, then those of each other region by name. Within a
-// region they are ordered by rendezvous hashing, weighted by capacity.
+// Ranked returns the cells with targets of a rule in the order in which calls of a chat try
+// them: first the cells of the given region, then those of each other region by name. Within a
+// region they are ordered by rendezvous hashing of the chat, weighted by capacity.
 func (m *Matcher) Ranked(r *Rule, region string, chat uint64) []*Cell {
 	o := rank(r.cells[region], r, chat)
 
@@ -45,7 +46,7 @@
 func (m *Matcher) Siblings(c *Cell) []*Cell {
 	var o []*Cell
 
-	for _, x := range m.ordered {
+	for _, x := range m.sortedCells {
 		if x != c && x.Pool == c.Pool && x.Region == c.Region {
 			o = append(o, x)
 		}
@@ -56,7 +57,7 @@
 
 // Cells returns all cells, sorted by name. Callers must not modify the result.
 func (m *Matcher) Cells() []*Cell {
-	return m.ordered
+	return m.sortedCells
 }
 
 // rank orders cells by rendezvous hashing of a chat, weighted by capacity.
@@ -148,7 +149,7 @@
 	}
 
 	for k, t := range p {
-		if len(t) >= minCell {
+		if len(t) >= minCellTargets {
 			m.split(k.pool, k.region, "/"+k.centre, t)
 
 			continue
@@ -202,12 +203,12 @@
 	}
 
 	for _, c := range m.cells {
-		m.ordered = append(m.ordered, c)
+		m.sortedCells = append(m.sortedCells, c)
 	}
 
-	sort.Slice(m.ordered, func(a, b int) bool { return m.ordered[a].Name < m.ordered[b].Name })
+	sort.Slice(m.sortedCells, func(a, b int) bool { return m.sortedCells[a].Name < m.sortedCells[b].Name })
 
-	for _, c := range m.ordered {
+	for _, c := range m.sortedCells {
 		sort.Slice(c.Targets, func(a, b int) bool { return c.Targets[a].Name < c.Targets[b].Name })
 
 		s := make(map[string]bool)
--- a/internal/matcher/matcher.go
+++ b/internal/matcher/matcher.go
@@ -49,7 +49,8 @@
 	Targets []*Target
 	traffic labels.Selector
 	pool    string
-	cells   map[string][]*Cell
+	// cells are the cells with targets of the rule, by region.
+	cells map[string][]*Cell
 }
 
 // Matcher is an index of one revision of the document. It is immutable, and therefore safe
@@ -60,8 +61,10 @@
 	byID     map[uint32]*Rule
 	targets  map[uint32]*Target
 	cells    map[uint32]*Cell
-	ordered  []*Cell
-	weights  map[uint32]float64
+	// sortedCells are all cells, sorted by name.
+	sortedCells []*Cell
+	// weights are the weights of the customers by the hash of their names.
+	weights map[uint32]float64
 }
 
 // New returns a Matcher for a validated document. Targets and rules that cannot be parsed
--- a/internal/matcher/matcher_test.go
+++ b/internal/matcher/matcher_test.go
@@ -123,10 +123,10 @@
 	for k := range uint64(100) {
 		l := m.Ranked(r, "r", k)
 		i.Equal(len(l), 2)
-		i.Equal(l[0].Region, "r") // the caller's region first, then the others
+		i.Equal(l[0].Region, "r") // The given region precedes the others.
 	}
 
-	i.Equal(len(m.Siblings(m.Cells()[0])), 0) // cells of different regions do not share a mean
+	i.Equal(len(m.Siblings(m.Cells()[0])), 0) // Cells of different regions are not siblings.
 }
 
 // BenchmarkNew indexes a document of the design size: 600 targets, 7,600 customers and 32
--- a/internal/recorder/recorder.go
+++ b/internal/recorder/recorder.go
@@ -68,7 +68,8 @@
 }
 
 // New returns a Recorder for the platform at an address, and its clean-up function.
-// The data centre is the caller's, which the platform receives with each request.
+// dataCentre is the data centre that this process runs in; it is sent to the platform with
+// each request.
 func New(a netip.AddrPort, dataCentre string) (*Recorder, func()) {
 	t := &http.Transport{
 		DialContext:     (&net.Dialer{Timeout: dialTimeout}).DialContext,
@@ -90,8 +91,8 @@
 }
 
 // Append appends records to a stream atomically and returns the offset of the first.
-// When it fails with ErrDown nothing was appended; with ErrUncertain the
-// records may be in the stream, which only a read can show.
+// When it fails with ErrDown, nothing was appended. When it fails with ErrUncertain, the
+// records may be in the stream; only a read shows whether they are.
 func (r *Recorder) Append(c context.Context, stream string, data [][]byte) (uint64, error) {
 	b, err := json.Marshal(struct {
 		Records [][]byte `json:"records"`
@@ -112,8 +113,8 @@
 	return o.Offset, nil
 }
 
-// Read returns records from an offset on. When there are none it waits for one up to
-// the given time; zero means no wait.
+// Read returns records from an offset on. When there are none, it waits up to the given
+// time for one; zero means no wait.
 func (r *Recorder) Read(c context.Context, stream string, from uint64, wait time.Duration) (Batch, error) {
 	u := r.base.JoinPath("v1", "streams", stream, "records")
 	u.RawQuery = fmt.Sprintf("from=%d&waitMs=%d", from, wait.Milliseconds())
@@ -157,7 +158,7 @@
 	q.Header.Set(dataCentreHeader, r.dataCentre)
 	q.Header.Set("Content-Type", "application/json")
 	// http.Transport retries a request on a new connection when its body can be
-	// read again. An append must not be repeated without the caller's decision.
+	// read again. Whether an append is repeated is for the caller of Append to decide.
 	if method == http.MethodPost {
 		q.GetBody = nil
 	}
--- a/internal/recorder/recorder_test.go
+++ b/internal/recorder/recorder_test.go
@@ -16,9 +16,10 @@
 	"github.com/auburntray/auburntray/internal/recorder"
 )
 
-// Guards against calls that are sent although their claim may be in the log, or changes
-// that are reported lost although they may be in force: ErrDown is permitted only where
-// the append certainly had no effect.
+// Guards against an append that is reported as failed although it may be in the log: a
+// call would be sent although its key may be claimed, or a change would be reported as not
+// made although it may be in force. ErrDown is permitted only where the append certainly
+// had no effect.
 func TestAppendErrors(t *testing.T) {
 	answer := func(status int, body string) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/reducer/reducer.go
+++ b/internal/reducer/reducer.go
@@ -23,7 +23,8 @@
 	Base   uint64         `json:"base,omitempty"`
 	Change *differ.Change `json:"change,omitempty"`
 	// Checkpoint is the complete state at its revision. It reflects every record before the offset
-	// Next; zero means that the writer did not set it, and the checkpoint's revision is used instead.
+	// Next. A Next of zero means that the writer did not set it; the checkpoint's revision is then
+	// used instead.
 	Checkpoint *State `json:"checkpoint,omitempty"`
 	Next       uint64 `json:"next,omitempty"`
 }
@@ -69,13 +70,17 @@
 // not safe for concurrent use.
 type Reducer struct {
 	state State
-	next  uint64
+	// next is the offset of the first record that is not applied yet.
+	next uint64
 	// complete reports whether state reflects every record before next. It is
 	// false for a reader that starts after the log dropped its oldest records,
 	// until a checkpoint or a peer's state covers the missing ones.
 	complete bool
-	first    uint64
-	pending  []entry
+	// oldest is the offset of the oldest record that the log still retained when
+	// records were last missed; zero when none were.
+	oldest uint64
+	// pending holds the changes that were read while the state was incomplete.
+	pending []entry
 }
 
 // entry is a change that was read while the state was incomplete.
@@ -84,7 +89,8 @@
 	record Record
 }
 
-// New returns an empty state at revision 0 that expects the record at offset 0.
+// New returns a Reducer with an empty document at revision 0. The first record that it
+// applies is the one at offset 0.
 func New() *Reducer {
 	return &Reducer{complete: true}
 }
@@ -104,16 +110,16 @@
 	return r.complete
 }
 
-// Skip reports that the log retains no records before an offset. When records
-// were missed, the current state remains, but no change is accepted until a
-// checkpoint or a peer's state covers the missed records.
+// Skip informs the Reducer that the log retains no records before an offset. When
+// some of these were not applied, the current state remains, but no change is accepted
+// until a checkpoint or a peer's state covers the missed records.
 func (r *Reducer) Skip(oldest uint64) {
 	if oldest <= r.next {
 		return
 	}
 
 	r.next = oldest
-	r.first = oldest
+	r.oldest = oldest
 	r.complete = false
 	r.pending = nil
 }
@@ -146,13 +152,13 @@
 
 // Restore replaces the state by that of a peer which has applied every record
 // before next. A state older than the current one is ignored: reverting to it
-// would, for example, send calls to a drained target again.
+// would, for example, send new calls to a drained target.
 func (r *Reducer) Restore(s State, next uint64) Verdict {
 	if s.Revision < r.state.Revision || (r.complete && next <= r.next) {
 		return Ignored
 	}
 
-	if !r.complete && next < r.first {
+	if !r.complete && next < r.oldest {
 		return Ignored
 	}
 
@@ -161,10 +167,10 @@
 
 // checkpoint applies a checkpoint from the log. The reader that wrote it may
 // have lagged, so the changes between the checkpoint's next and its own offset
-// are applied again; when some of these are missing, the checkpoint is ignored.
+// are applied to it; when some of these changes were missed, the checkpoint is ignored.
 // A checkpoint that claims to reflect records after its own offset is invalid.
 func (r *Reducer) checkpoint(s State, next uint64) Verdict {
-	if r.complete || next < r.first || next > r.next || s.Revision < r.state.Revision {
+	if r.complete || next < r.oldest || next > r.next || s.Revision < r.state.Revision {
 		return Ignored
 	}
 
--- a/internal/reducer/reducer_test.go
+++ b/internal/reducer/reducer_test.go
@@ -65,8 +65,9 @@
 	}
 }
 
-// Guards against a reader that starts after the log dropped its oldest records and loses the changes
-// between a checkpoint's state and its offset: the router that wrote the checkpoint may have lagged.
+// Guards against a lost change. A reader starts after the log dropped its oldest records, and restores
+// a checkpoint. The router that wrote the checkpoint may have lagged, so changes between the state of
+// the checkpoint and the offset of its record must be applied, too.
 func TestLateReadersConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		full := reducer.New()
@@ -123,8 +124,9 @@
 	})
 }
 
-// Guards against a data centre that is partitioned from the platform, restores the state from a
-// peer that lags and reverts to an older revision, or misses records once the log is reachable again.
+// Guards against reverted and lost changes. A data centre that is partitioned from the platform
+// restores the state of a peer: it must not revert to an older revision when that peer lags, and must
+// miss no records once the log is reachable again.
 func TestRestoreNeverReverts(t *testing.T) {
 	log := []reducer.Record{change("a", 0, 1), change("b", 1, 2), change("c", 2, 3)}
 	at := func(n int) *reducer.Reducer {
@@ -176,7 +178,7 @@
 
 	// A reader without a gap wrote a checkpoint of revision 4, in which "x" was not accepted.
 	s := reducer.State{Revision: 4, ID: "d"}
-	i.Equal(f.Apply(6, reducer.Record{Checkpoint: &s}), reducer.Ignored) // Ignored: record 4 is not covered.
+	i.Equal(f.Apply(6, reducer.Record{Checkpoint: &s}), reducer.Ignored) // Record 4 was missed, and the checkpoint does not cover it.
 
 	g := reducer.New()
 	g.Skip(3)
--- a/internal/registrar/partition.go
+++ b/internal/registrar/partition.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// expireInterval is the interval at which expired keys are dropped, by the log's clock.
+	// expireInterval is the time between two removals of expired keys, by the log's clock.
 	expireInterval = time.Minute
 	// settleDelay is how long a settlement may wait after the previous append, so that it shares
 	// an append with the next claim. This halves the appends on a busy partition.
@@ -24,7 +24,8 @@
 	*streamer.Streamer
 
 	claimer *claimer.Claimer
-	expired time.Time
+	// lastExpiry is when expired keys were last dropped, by the log's clock.
+	lastExpiry time.Time
 }
 
 func newPartition(l streamer.Log, stream string, window time.Duration) *partition {
@@ -34,7 +35,7 @@
 	return p
 }
 
-// ApplyRecord implements streamer.Fold. A record that can't be decoded is applied as one without
+// ApplyRecord implements streamer.Reducer. A record that can't be decoded is applied as one without
 // effect, so that all readers agree.
 func (p *partition) ApplyRecord(offset uint64, at time.Time, data []byte) {
 	var w wire.ClaimRecord
@@ -46,13 +47,13 @@
 
 	p.claimer.Apply(offset, at, r)
 
-	if at.Sub(p.expired) > expireInterval {
-		p.expired = at
+	if at.Sub(p.lastExpiry) > expireInterval {
+		p.lastExpiry = at
 		p.claimer.Expire(at)
 	}
 }
 
-// append appends a claim or a settlement to the stream and returns its offset.
+// append appends a claim or a settlement to the stream and returns the offset after it.
 func (p *partition) append(c context.Context, r claimer.Record) (uint64, error) {
 	w := toWire(r)
 
--- a/internal/registrar/registrar.go
+++ b/internal/registrar/registrar.go
@@ -35,7 +35,7 @@
 	settleRetryInterval = 500 * time.Millisecond
 	// maxRecordedBody is the longest body that is recorded with an answer, in bytes.
 	maxRecordedBody = 4 << 10
-	// minRetryAfter is the shortest RetryAfter of a status that was read after an append.
+	// minRetryAfter is the least RetryAfter of a status for which a claim was appended.
 	minRetryAfter = 300 * time.Millisecond
 )
 
@@ -105,9 +105,9 @@
 // Claim claims a key and returns its status. The call may be sent only if the outcome is Won.
 //
 // The claim is forwarded to the home (home node) of the key's partition, so that each router
-// reads only the partitions that it is home to. If the home fails, this router claims the key
+// reads only the partitions whose home it is. If the home fails, this router claims the key
 // itself under the same ID, which counts as the same claim. Claim fails with ErrNotClaimed
-// when the log can't be reached; the call must not be sent then.
+// when the log can't be reached; then the call must not be sent.
 func (r *Registrar) Claim(c context.Context, q Claim) (Status, error) {
 	s, err := r.claimAtHome(c, q)
 	if err != nil {
@@ -154,9 +154,9 @@
 }
 
 // Settle records the outcome of a claimed call: Ran with its answer, Unknown, or NotRun to
-// release the key. It returns once the settlement is in the log. After 20 attempts, which
-// wait 500 ms in between, it fails with ErrNotClaimed; the key then remains claimed, and its
-// outcome becomes Unknown when the claim's lifetime ends.
+// release the key. It returns once the settlement is in the log. After 20 attempts with 500 ms
+// between them, it fails with ErrNotClaimed; the key then remains claimed, and its outcome
+// becomes Unknown when the claim's lifetime ends.
 func (r *Registrar) Settle(c context.Context, q Claim, o claimer.Outcome, a claimer.Answer) error {
 	if len(a.Body) > maxRecordedBody {
 		a.Body = nil
--- a/internal/registrar/registrar_test.go
+++ b/internal/registrar/registrar_test.go
@@ -34,16 +34,16 @@
 func (fakeMembers) Suspect(uint64)        {}
 func (fakeMembers) Self() gossiper.Member { return gossiper.Member{ID: 1} }
 
-// process is a fake of the stall detector; true means that this process was just stalled.
-type process bool
+// fakeStallMonitor reports that this process was just stalled if it is true.
+type fakeStallMonitor bool
 
-func (p process) Stalled(time.Time) bool { return bool(p) }
+func (f fakeStallMonitor) Stalled(time.Time) bool { return bool(f) }
 
 // peers is a fake of the home, which is unreachable without a Registrar.
 type peers struct {
 	home *registrar.Registrar
-	// lose discards the home's reply after the request was handled.
-	lose bool
+	// loseReplies discards the home's reply after the home has handled the request.
+	loseReplies bool
 }
 
 func (p *peers) Call(c context.Context, _ netip.AddrPort, k wire.Kind, q msgp.Marshaler, r msgp.Unmarshaler) error {
@@ -64,7 +64,7 @@
 		return messenger.ErrRefused
 	}
 
-	if p.lose {
+	if p.loseReplies {
 		return messenger.ErrTimeout
 	}
 
@@ -99,7 +99,7 @@
 	r, stop := recorder.New(a, "dc-1")
 	t.Cleanup(stop)
 
-	return registrar.New(r, p, fakeMembers{home}, process(false), time.Hour)
+	return registrar.New(r, p, fakeMembers{home}, fakeStallMonitor(false), time.Hour)
 }
 
 func claim(key, id uint64) registrar.Claim {
@@ -210,16 +210,16 @@
 // the home times out during the stall, though the home is live. A home that times out while
 // this router runs, or refuses connections, is suspected. The claim succeeds either way.
 func TestStallDoesNotSuspectTheHome(t *testing.T) {
-	late := errors.Mark(context.DeadlineExceeded, messenger.ErrTimeout)
+	timedOut := errors.Mark(context.DeadlineExceeded, messenger.ErrTimeout)
 	refused := errors.Mark(syscall.ECONNREFUSED, messenger.ErrUnreachable)
 
 	for name, tc := range map[string]struct {
 		err       error
-		stalled   process
+		stalled   fakeStallMonitor
 		suspected bool
 	}{
-		"stalled, timeout":            {err: late, stalled: true},
-		"running, timeout":            {err: late, suspected: true},
+		"stalled, timeout":            {err: timedOut, stalled: true},
+		"running, timeout":            {err: timedOut, suspected: true},
 		"stalled, connection refused": {err: refused, stalled: true, suspected: true},
 		"running, connection refused": {err: refused, suspected: true},
 		"home returned an error":      {err: messenger.ErrRefused},
@@ -249,7 +249,7 @@
 func lossy(t *testing.T, a netip.AddrPort) *peers {
 	t.Helper()
 
-	return &peers{home: newRegistrar(t, a, 1, nil), lose: true}
+	return &peers{home: newRegistrar(t, a, 1, nil), loseReplies: true}
 }
 
 // Guards against a home that releases a claim on its own. The home appends the claim but
@@ -259,7 +259,7 @@
 func TestOnlyTheSenderReleases(t *testing.T) {
 	i := is.New(t)
 	_, a := newLog(t)
-	home := &peers{home: registrar.New(&unreadableLog{t: t, address: a}, nil, fakeMembers{1}, process(false), time.Hour)}
+	home := &peers{home: registrar.New(&unreadableLog{t: t, address: a}, nil, fakeMembers{1}, fakeStallMonitor(false), time.Hour)}
 	entry := newRegistrar(t, a, 2, home)
 
 	s, err := entry.Claim(t.Context(), claim(1, 1))
@@ -317,8 +317,8 @@
 	i.Equal(s.Outcome, claimer.Ran)
 }
 
-// Guards against one append per claim, which would exceed the few hundred appends a second
-// that the log accepts. Claims that arrive during an append share the next one.
+// Guards against one append per claim, which would exceed the few hundred appends per second
+// that the log accepts. Claims that arrive during an append must share the next append.
 func TestClaimsAreBatched(t *testing.T) {
 	i := is.New(t)
 	p, a := newLog(t)
@@ -349,7 +349,7 @@
 	x, stop := recorder.New(netip.MustParseAddrPort(strings.TrimPrefix(s.URL, "http://")), "dc-1")
 	defer stop()
 
-	r := registrar.New(x, nil, fakeMembers{1}, process(false), time.Hour)
+	r := registrar.New(x, nil, fakeMembers{1}, fakeStallMonitor(false), time.Hour)
 	n := uint64(0)
 
 	for b.Loop() {
--- a/internal/repeater/answer.go
+++ b/internal/repeater/answer.go
@@ -63,9 +63,9 @@
 	return p
 }
 
-// compressed returns a record's compressed value, and false when compression does not make it shorter. It takes
-// milliseconds, so s.mu is not held meanwhile. All instances that wait for a record request it at once, so the
-// value is compressed once and cached.
+// compressed returns a record's compressed value, and false when compression does not make the value shorter.
+// Compression takes milliseconds, so s.mu is not held meanwhile. All instances that wait for a record request it at
+// once, so its value is compressed once and cached.
 func (s *Stream) compressed(r watcher.Record) ([]byte, bool) {
 	if len(r.Value) < compressMinBytes {
 		return nil, false
@@ -115,8 +115,8 @@
 	return uint32(min(time.Since(t), time.Hour).Milliseconds()) //nolint:gosec // Fits.
 }
 
-// locate returns the address of an instance, which is invalid when the instance is unknown, and whether it is in
-// another data centre, for all of which it reads then.
+// locate returns the address of an instance; it is invalid when the instance is unknown. The second result reports
+// whether the instance is in another data centre. Such an instance reads for all instances there.
 func (s *Stream) locate(id uint64) (netip.AddrPort, bool) {
 	m := s.repeater.members
 	for _, x := range m.Live() {
--- a/internal/repeater/bundles.go
+++ b/internal/repeater/bundles.go
@@ -7,7 +7,7 @@
 )
 
 // bundleMinBytes is the total length from which a reply's records are compressed together. From about five
-// target records on this more than halves it.
+// target records on, compression more than halves the total length.
 const bundleMinBytes = 1 << 10
 
 // maxBundles bounds the cached bundles of a stream. Instances that have read equally far request records from the
@@ -18,9 +18,10 @@
 // a millisecond per hundred records, and a hundred instances that have just started request the same records from
 // one seed. It is not safe for concurrent use.
 type bundles struct {
-	// next is the offset after the last record of all bundles.
+	// next is the offset after the last record of each bundle: all bundles end there.
 	next int64
-	from map[int64][]byte
+	// byOffset holds each bundle under the offset from which its records were requested.
+	byOffset map[int64][]byte
 }
 
 // get returns the bundle of the records from an offset up to next, or nil when it is not cached.
@@ -29,16 +30,16 @@
 		return nil
 	}
 
-	return b.from[from]
+	return b.byOffset[from]
 }
 
 // put caches a bundle and evicts those with another end, or all when the cache is full.
 func (b *bundles) put(from, next int64, v []byte) {
-	if b.next != next || b.from == nil || len(b.from) >= maxBundles {
-		b.next, b.from = next, make(map[int64][]byte)
+	if b.next != next || b.byOffset == nil || len(b.byOffset) >= maxBundles {
+		b.next, b.byOffset = next, make(map[int64][]byte)
 	}
 
-	b.from[from] = v
+	b.byOffset[from] = v
 }
 
 // bundle compresses the records of a reply together, when they are long enough.
--- a/internal/repeater/cache.go
+++ b/internal/repeater/cache.go
@@ -7,7 +7,7 @@
 	"github.com/auburntray/auburntray/internal/watcher"
 )
 
-// maxDeleted is how many deleted keys a cache retains. Instances that lag by more read all keys again.
+// maxDeleted is how many deleted keys a cache retains. An instance that lags by more deletions reads all keys again.
 const maxDeleted = 1024
 
 // cache holds what an instance has read of a stream: the newest record of each key, including recently deleted
@@ -16,11 +16,12 @@
 	records map[string]watcher.Record
 	// next is the offset after the last record; negative before the first read.
 	next int64
-	// floor is the offset from which on the newest record of every key is retained.
-	floor int64
+	// completeFrom: of each key that changed at or after this offset, the newest record is cached, deletions
+	// included.
+	completeFrom int64
 	// confirmed is when the platform last confirmed that there are no newer records.
 	confirmed time.Time
-	// deleted counts the records of deleted keys since floor was set.
+	// deleted counts the records of deleted keys since completeFrom was set.
 	deleted int
 	// compressed holds the compressed long values. They are added on their first use.
 	compressed map[string]compressedValue
@@ -45,7 +46,7 @@
 		c.records[r.Key] = r
 	}
 
-	c.next, c.floor, c.deleted, c.confirmed = next, next, 0, confirmed
+	c.next, c.completeFrom, c.deleted, c.confirmed = next, next, 0, confirmed
 }
 
 // add adds records that follow the cached ones.
@@ -71,7 +72,7 @@
 }
 
 // newerThan reports whether the cache has a later record than a list for one of the list's keys. Offsets only
-// increase, so the list is then from an older state, whatever end it reports.
+// increase, so the list is then from an older state, regardless of the end offset that it reports.
 func (c *cache) newerThan(l []watcher.Record) bool {
 	n := make(map[string]int64, len(l))
 	for _, r := range l {
@@ -95,7 +96,7 @@
 		}
 	}
 
-	c.floor, c.deleted = c.next, 0
+	c.completeFrom, c.deleted = c.next, 0
 }
 
 // compressedValue returns a record's compressed value, and false when it is not cached.
@@ -113,9 +114,9 @@
 }
 
 // since returns the records from an offset on, in order. When some of them are no longer cached, it returns the
-// newest record of each key that is not deleted, and true for all.
+// newest record of each key that is not deleted, and true as the second result.
 func (c *cache) since(from int64) (l []watcher.Record, all bool) {
-	all = from < c.floor
+	all = from < c.completeFrom
 
 	for _, r := range c.records {
 		if all && len(r.Value) > 0 || !all && r.Offset >= from {
--- a/internal/repeater/links_test.go
+++ b/internal/repeater/links_test.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	// narrow is the transfer time of a byte over a link of 10 Mbit/s.
-	narrow = 800 * time.Nanosecond
-	// storeByte is the time in which the platform reads a byte, for all instances together: 80 MB/s.
-	storeByte = 12 * time.Nanosecond
+	// narrowByteTime is the transfer time of a byte over a link of 10 Mbit/s.
+	narrowByteTime = 800 * time.Nanosecond
+	// platformByteTime is the time in which the platform sends a byte, for all instances together: 80 MB/s.
+	platformByteTime = 12 * time.Nanosecond
 	// applyTime is how long a fifth of a core takes to decode and apply a configuration of a megabyte.
 	applyTime = 200 * time.Millisecond
 	// wideFactor is the bandwidth of a wide link relative to a narrow one.
@@ -34,9 +34,9 @@
 	perByte time.Duration
 	// wide are the instances whose links have wideFactor times the bandwidth.
 	wide map[int]bool
-	// free is when each instance's link is free again, and store when the platform is.
-	free  map[int]time.Time
-	store time.Time
+	// linkFreeAt is when each instance's link is free again, and platformFreeAt when the platform's link is.
+	linkFreeAt     map[int]time.Time
+	platformFreeAt time.Time
 }
 
 // transfer sends an answer of the platform to an instance, in chunks. It returns when the last has arrived.
@@ -46,16 +46,16 @@
 
 		p.mu.Lock()
 		l := &p.links
-		b := latest(time.Now(), l.store)
-		l.store = b.Add(n * storeByte)
+		b := latest(time.Now(), l.platformFreeAt)
+		l.platformFreeAt = b.Add(n * platformByteTime)
 
 		d := l.perByte
 		if l.wide[instance] {
 			d /= wideFactor
 		}
 
-		e := latest(l.store, l.free[instance]).Add(n * d)
-		l.free[instance] = e
+		e := latest(l.platformFreeAt, l.linkFreeAt[instance]).Add(n * d)
+		l.linkFreeAt[instance] = e
 		p.mu.Unlock()
 
 		if err := wait(c, time.Until(e)); err != nil {
@@ -103,25 +103,26 @@
 // Guards against a configuration that never arrives: it is too long to be forwarded, or to be read over a
 // narrow-bandwidth link before the read times out, and each instance reads it from the platform again and again.
 func TestLongConfigurationsArriveInTime(t *testing.T) {
-	megabyte := 5600 // Rules.
+	rulesPerMegabyte := 5600
 
 	for name, x := range map[string]struct {
-		centres, each, rules int
-		within, perByte      time.Duration
+		// instances is their number in each data centre.
+		centres, instances, rules int
+		within, perByte           time.Duration
 		// partitioned separates the region's reader from the platform and from all other instances.
 		partitioned bool
-		// wide is how many instances of each data centre have a wide link.
+		// wide is how many instances of each data centre have a link of wideFactor times the bandwidth.
 		wide int
 	}{
-		"8 instances":                                                      {2, 4, megabyte, 3 * time.Second, narrow, false, 0},
-		"8 instances, reader partitioned":                                  {2, 4, megabyte, 3 * time.Second, narrow, true, 0},
-		"81 instances":                                                     {3, 27, megabyte, 3 * time.Second, narrow, false, 0},
-		"81 instances, reader partitioned":                                 {3, 27, megabyte, 3 * time.Second, narrow, true, 0},
-		"300 instances, links of 20 Mbit/s":                                {6, 50, megabyte, 4 * time.Second, narrow / 2, false, 0},
-		"384 instances, reader partitioned":                                {8, 48, megabyte, 4 * time.Second, narrow, true, 0},
-		"81 instances, two wide links per data centre":                     {3, 27, megabyte, 3 * time.Second, narrow, false, 2},
-		"81 instances, two wide links per data centre, reader partitioned": {3, 27, megabyte, 3 * time.Second, narrow, true, 2},
-		"81 instances, short configuration, reader partitioned":            {3, 27, 40, 3 * time.Second, narrow, true, 0},
+		"8 instances":                                                      {2, 4, rulesPerMegabyte, 3 * time.Second, narrowByteTime, false, 0},
+		"8 instances, reader partitioned":                                  {2, 4, rulesPerMegabyte, 3 * time.Second, narrowByteTime, true, 0},
+		"81 instances":                                                     {3, 27, rulesPerMegabyte, 3 * time.Second, narrowByteTime, false, 0},
+		"81 instances, reader partitioned":                                 {3, 27, rulesPerMegabyte, 3 * time.Second, narrowByteTime, true, 0},
+		"300 instances, links of 20 Mbit/s":                                {6, 50, rulesPerMegabyte, 4 * time.Second, narrowByteTime / 2, false, 0},
+		"384 instances, reader partitioned":                                {8, 48, rulesPerMegabyte, 4 * time.Second, narrowByteTime, true, 0},
+		"81 instances, two wide links per data centre":                     {3, 27, rulesPerMegabyte, 3 * time.Second, narrowByteTime, false, 2},
+		"81 instances, two wide links per data centre, reader partitioned": {3, 27, rulesPerMegabyte, 3 * time.Second, narrowByteTime, true, 2},
+		"81 instances, short configuration, reader partitioned":            {3, 27, 40, 3 * time.Second, narrowByteTime, true, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -129,14 +130,14 @@
 
 				var l []string
 				for n := range x.centres {
-					l = append(l, slices.Repeat([]string{fmt.Sprint(n)}, x.each)...)
+					l = append(l, slices.Repeat([]string{fmt.Sprint(n)}, x.instances)...)
 				}
 
 				p := newPlatform()
 				p.links.wide = map[int]bool{}
 
 				for n := range l {
-					p.links.wide[n] = n%x.each >= x.each-x.wide
+					p.links.wide[n] = n%x.instances >= x.instances-x.wide
 				}
 
 				f, stop := startWithin(t, p, nil, x.within, l...)
--- a/internal/repeater/newest.go
+++ b/internal/repeater/newest.go
@@ -29,8 +29,8 @@
 // answers.
 //
 // It reads from the platform, and also from other instances when the platform is slow or fails. The read from the
-// platform continues meanwhile: if it were restarted, a list that is too long for the link would never arrive when
-// no other instance has it either, as after all instances have crashed.
+// platform continues meanwhile. If it were restarted each time, a list that takes long over the link would never
+// arrive while no other instance has it either, for example after all instances have crashed.
 func (s *Stream) Newest(c context.Context) ([]watcher.Record, int64, error) {
 	x, stop := context.WithCancel(c)
 	defer stop()
--- a/internal/repeater/peers.go
+++ b/internal/repeater/peers.go
@@ -18,7 +18,7 @@
 // requestPeers calls a few random instances at once. It returns the first reply with new records, or, when there is
 // none, the one most recently confirmed by the platform. It fails with ErrPeer.
 func (s *Stream) requestPeers(c context.Context, from int64) (*wire.StreamReply, error) {
-	// The deadline is independent of the caller's, which the platform may have used up.
+	// These calls have a deadline of their own: a read from the platform may have used up that of c.
 	x, stop := extender.New(context.WithoutCancel(c), extender.DefaultSettings(peerTimeout))
 	defer stop()
 
@@ -88,9 +88,9 @@
 	return p, err
 }
 
-// request requests the records from an offset on from one instance, which waits up to the given time for one. It
-// fails with errStale when the platform's last confirmation is longer ago than stale, unless an answer is arriving
-// there, and else with ErrPeer.
+// request requests the records from an offset on from one instance, which waits up to the given time for a record.
+// It fails with errStale when the platform last confirmed that instance's records longer than stale ago, unless a
+// part of an answer has just arrived there. On other failures it fails with ErrPeer.
 func (s *Stream) request(c context.Context, m gossiper.Member, from int64, wait, stale time.Duration) (*wire.StreamReply, error) {
 	d := peerTimeout
 	if wait > 0 {
--- a/internal/repeater/repeater.go
+++ b/internal/repeater/repeater.go
@@ -1,8 +1,11 @@
 // Package repeater lets instances read the platform's streams through each other.
-// One instance of a region, the region's reader, reads from the platform. The
-// readers of the other data centres read through it, and all other instances
-// through the reader of their data centre. An instance that the platform refuses
-// reads from random others.
+// One instance of a region, the region's reader, reads from the platform. One
+// instance of each other data centre, the reader of that data centre, reads from
+// the region's reader. All other instances read from the reader of their own data
+// centre. An instance whose reads the platform refuses reads from random other
+// instances.
+//
+// The instance from which another one reads regularly is called its upstream.
 package repeater
 
 import (
@@ -24,63 +27,67 @@
 	ErrPeer = errors.New("no other instance could answer the read")
 	// errStale means that another instance's records are too old.
 	errStale = errors.New("the instance's records are too old")
-	// errRedirect means that an instance did not answer to which the upstream had redirected a read.
+	// errRedirect means that the upstream redirected a read to another instance, and that the read failed there.
 	errRedirect = errors.New("the instance to which the read was redirected did not answer")
 )
 
-// The fractions are of the wait budget: the time for which all reads on the path of a change may wait in total.
+// Fractions of the wait budget. The wait budget is the total time that all reads through which a change passes
+// may wait.
 const (
-	// readerStaleFraction is the greatest age of the records of a data centre's reader. Its reads wait for a
-	// third of that time. When it has received no answer for longer, it may be partitioned without noticing, and
-	// the other instances read for themselves.
+	// readerStaleFraction is the greatest accepted age of the records of a data centre's reader. The reader's own
+	// reads wait for changes for about a third of the wait budget. When its records are older than
+	// readerStaleFraction, it may be partitioned without having noticed, and the other instances of the data
+	// centre read from the platform.
 	readerStaleFraction = 0.55
-	// recentFraction is the greatest age of the platform's last answer at which a read still waits for changes
-	// although the upstream has just failed. If that read is never answered, a change is delayed by this and
-	// the duration of a read.
+	// recentFraction applies to the read from the platform that follows a failed read from the upstream. This read
+	// waits for changes only if the platform confirmed the records at most recentFraction ago. If the read is never
+	// answered, a change is delayed by recentFraction plus the duration of the read.
 	recentFraction = 0.2
-	// readerWaitFraction is how long a data centre's reader is asked to wait for a change.
+	// readerWaitFraction is how long a read from a data centre's reader waits there for a change.
 	readerWaitFraction = 0.2
 	// regionWaitFraction and regionStaleFraction are the same for the region's reader, which is called by the
-	// readers of the data centres. They are smaller so that the answers of these are not too old for the
-	// instances that read through them, and so that these readers notice a silent region's reader, and read
-	// for themselves, before those instances do: else a whole data centre would read from the platform at once.
+	// readers of the data centres. They are smaller than those above for two reasons: records that pass through two
+	// readers must not get too old, and the reader of a data centre must notice that the region's reader is silent
+	// before the instances that read from it do. Otherwise all instances of a data centre would read from the
+	// platform at once.
 	regionWaitFraction  = 0.075
 	regionStaleFraction = 0.45
-	// peerStaleFraction is the greatest age of the records of an instance that is called because the platform
-	// refuses this one; it may itself read through another.
+	// peerStaleFraction is the greatest accepted age of another instance's records when the platform refuses this
+	// instance. The other instance may itself read through a third.
 	peerStaleFraction = 1.25
 )
 
 const (
-	// peerTimeout bounds a call that does not wait. The round-trip time between instances is about a
-	// millisecond.
+	// peerTimeout bounds a call to another instance that does not wait there for changes. The round-trip time
+	// between instances is about a millisecond.
 	peerTimeout = 250 * time.Millisecond
-	// peerSlack is how long after its wait the answer to a call may arrive before the call times out.
+	// peerSlack is how long after the end of its wait a call to another instance times out.
 	peerSlack = 250 * time.Millisecond
-	// maxLinkQueue is how long the long answers already queued may occupy an instance's link when another is
-	// sent. It is below peerSlack, so that calls queued behind them do not time out.
+	// maxLinkQueue limits the long answers that are queued on an instance's link: when these occupy the link for
+	// this long or longer, the next requester of a long answer is redirected. It is below peerSlack, so that calls
+	// queued behind long answers do not time out.
 	maxLinkQueue = 200 * time.Millisecond
 	// peerRoundPause is the pause between two rounds of calls to other instances while the platform refuses this
-	// one. The platform is called again in each round, and refusals are billed too.
+	// instance. The platform is called again in each round, and refused calls are billed too.
 	peerRoundPause = 500 * time.Millisecond
-	// peersPerRound is how many other instances are called at once. Some may be partitioned; of three, one that
-	// is not answers within milliseconds.
+	// peersPerRound is how many other instances are called at once. Some may be partitioned, but usually at least
+	// one of three is not, and answers within milliseconds.
 	peersPerRound = 3
 	// proberCount is how many instances of a data centre, on average, call a platform that has not answered
-	// them, in each round of about half a second. With four, the only refused instance among twenty calls the
+	// them, in each round of about half a second. With four, an instance that alone of twenty is refused calls the
 	// platform every two to three seconds.
 	proberCount = 4
-	// skipPeriod is how long an upstream is skipped after its records were too old. It is alive, and may be up
-	// to date again soon.
+	// skipPeriod is how long an upstream is skipped after its records were too old. Such an upstream is alive, and
+	// may be up to date again soon.
 	skipPeriod = time.Second
-	// seedSkipPeriod is the same for a seed that did not answer an instance which has just started: the seed may
-	// have just started, too.
+	// seedSkipPeriod is how long seeds are skipped after a seed did not answer this instance, which has just started:
+	// the seed may have just started, too.
 	seedSkipPeriod = 300 * time.Millisecond
 	// settlePeriod is how long after its start an instance reads through a seed. By then it knows the other
 	// instances from gossip.
 	settlePeriod = 14 * time.Second
-	// maxRedirects bounds how often a read is redirected to another instance that has the records: it is the
-	// depth of the distribution tree in a data centre of about 1,000 instances.
+	// maxRedirects bounds how often a read is redirected to another instance that has the records. It is the
+	// depth of the tree along which redirects distribute a record in a data centre of about 1,000 instances.
 	maxRedirects = 6
 )
 
@@ -130,8 +137,8 @@
 	return &Repeater{messenger: m, members: x, meter: c, rate: rate, started: time.Now(), streams: make(map[string]*Stream)}
 }
 
-// AddStream adds a stream that is read from a source, or from other instances. The wait budget is that of
-// watcher.Waits. It must not be called concurrently with other methods.
+// AddStream adds a stream that is read from a source, or from other instances. The wait budget is the result of
+// watcher.WaitBudget. AddStream must not be called concurrently with other methods.
 func (r *Repeater) AddStream(name string, s watcher.Source, waitBudget time.Duration) *Stream {
 	x := &Stream{
 		name: name, repeater: r, source: s, waitBudget: waitBudget, cache: newCache(), changed: make(chan struct{}),
--- a/internal/repeater/repeater_test.go
+++ b/internal/repeater/repeater_test.go
@@ -38,15 +38,15 @@
 	reads   map[int]int
 	// listLength is the number of records of a list of all keys; zero sets no bound.
 	listLength int
-	// listTimes are how long a list of all keys takes over an instance's link.
+	// listTimes holds, by instance, how long a list of all keys takes over the instance's link.
 	listTimes map[int]time.Duration
 	links     links
-	// excess is by how much the end that a list reports is too high.
+	// excess is added to the correct end offset of a list of all keys.
 	excess int64
 }
 
-// truncateLists makes lists of all keys those of an older state, with the given number of records, and
-// sets by how much the end that they report is too high. Zeros restore complete lists.
+// truncateLists makes lists of all keys contain only the first n records, as in an older state, and adds excess to
+// the end offset that they report. Zeros restore complete lists.
 func (p *platform) truncateLists(n int, excess int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -163,12 +163,13 @@
 	// down are instances that refuse connections.
 	down  map[int]bool
 	seeds []netip.AddrPort
-	// perByte is the transfer time of a byte from an instance to others, and free when each instance's link is
-	// free again.
-	perByte time.Duration
-	free    map[int]time.Time
+	// perByte is the transfer time of a byte from an instance to others, and linkFreeAt when each instance's link
+	// is free again.
+	perByte    time.Duration
+	linkFreeAt map[int]time.Time
 	// wide are instances whose links have wideFactor times the bandwidth.
 	wide map[int]bool
+	// sent is the number of bytes that all instances have sent.
 	sent int
 	mu   sync.Mutex
 }
@@ -290,8 +291,8 @@
 		k := min(chunkBytes, len(b)-o)
 
 		i.fleet.mu.Lock()
-		at := latest(time.Now(), i.fleet.free[n]).Add(time.Duration(k) * i.fleet.byteTime(n))
-		i.fleet.free[n] = at
+		at := latest(time.Now(), i.fleet.linkFreeAt[n]).Add(time.Duration(k) * i.fleet.byteTime(n))
+		i.fleet.linkFreeAt[n] = at
 		i.fleet.sent += k
 		i.fleet.mu.Unlock()
 
@@ -374,7 +375,7 @@
 }
 
 func newPlatform() *platform {
-	return &platform{changed: make(chan struct{}), refused: map[int]bool{}, silent: map[int]bool{}, reads: map[int]int{}, listTimes: map[int]time.Duration{}, links: links{free: map[int]time.Time{}}}
+	return &platform{changed: make(chan struct{}), refused: map[int]bool{}, silent: map[int]bool{}, reads: map[int]int{}, listTimes: map[int]time.Duration{}, links: links{linkFreeAt: map[int]time.Time{}}}
 }
 
 // startOn runs instances on a platform whose changes must be applied within two seconds.
@@ -394,7 +395,7 @@
 		partitioned: map[int]bool{},
 		down:        map[int]bool{},
 		seeds:       seeds,
-		free:        map[int]time.Time{},
+		linkFreeAt:  map[int]time.Time{},
 		wide:        p.links.wide,
 	}
 	f.platform.put("k", "0")
@@ -430,6 +431,7 @@
 	}
 }
 
+// set sets the entries of the given instances in a map of the fleet or the platform, under the locks of both.
 func (f *fleet) set(m map[int]bool, on bool, l ...int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -441,8 +443,9 @@
 	}
 }
 
-// Guards against a revoked key that is accepted at a single instance, which the platform refuses, or which reads
-// through a partitioned one. Every instance that can reach an up-to-date one must know a change within two seconds.
+// Guards against a revoked key that a single instance still accepts, because the platform refuses its reads or
+// because it reads through a partitioned instance. Every instance that can reach an instance with the newest records
+// must receive a change within two seconds.
 func TestChangesReachAllInstances(t *testing.T) {
 	for name, x := range map[string]struct {
 		fault    func(f *fleet)
@@ -479,7 +482,7 @@
 }
 
 // Guards against the cost of reads from the platform, which are billed: one instance reads for all. When it is
-// partitioned, the reader of another data centre reads for its own, and not every instance there.
+// partitioned, only one instance of each other data centre reads from the platform, namely its reader.
 func TestOneInstanceReadsForAll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -515,10 +518,10 @@
 		clear(f.platform.reads)
 		f.platform.mu.Unlock()
 
-		// Its records become stale without an error.
+		// The records of the region's reader become stale without an error.
 		f.set(f.partitioned, true, l[0])
 		f.set(f.platform.silent, true, l[0])
-		time.Sleep(700 * time.Millisecond) // Reads in progress are answered.
+		time.Sleep(700 * time.Millisecond) // Waits until the reads in progress are answered.
 		f.platform.put("k", "v")
 		time.Sleep(1500 * time.Millisecond)
 
@@ -526,7 +529,7 @@
 			is.Equal(x.handler.get("k") == "v", n != l[0])
 		}
 
-		// In the other data centre its reader notices before the instances that read through it.
+		// In the other data centre, its reader notices this before the instances that read from that reader.
 		other := 3 - l[0]
 		is.True(slices.Contains(reads(), other))
 		is.True(!slices.Contains(reads(), other+1))
@@ -536,7 +539,7 @@
 	})
 }
 
-// Guards against a target that has left but remains known at instances that read through another.
+// Guards against a target that has left but remains known at instances that read through another instance.
 func TestDeletedKeysAreForwarded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -557,11 +560,11 @@
 
 // Guards against a new target that gets no calls at some instances: the platform answered the reader with a list
 // from an older state. The watcher rejected it, but the reader's cache was replaced, later records were added after
-// the gap, and instances that requested records from within the gap received none of it.
+// the gap, and instances that requested records from an offset within the gap did not receive the missing ones.
 func TestStaleListIsNotForwarded(t *testing.T) {
 	for name, x := range map[string]struct {
 		length int
-		// excess is by how much the end that the list reports is too high.
+		// excess is added to the end offset that the list reports.
 		excess int64
 	}{
 		"lower end":  {length: 2},
@@ -595,7 +598,7 @@
 	}
 }
 
-// keysFrom returns the keys that an instance sends another, from an offset on.
+// keysFrom returns the keys of the records from an offset on that an instance sends to another.
 func keysFrom(t *testing.T, i *instance, from int64) []string {
 	t.Helper()
 	is := is.New(t)
@@ -618,7 +621,7 @@
 }
 
 // Guards against instances that confirm each other's records in an outage of the platform, and against many
-// refused calls to it.
+// refused calls to the platform.
 func TestOutageIsNoConfirmation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -698,11 +701,11 @@
 }
 
 // Guards against the cost of reads when all instances start at once and none knows the others: the seeds read for
-// them. When a seed is partitioned, its instances read for themselves.
+// them. When a seed is partitioned, the instances that read from it read from the platform.
 func TestSeedsReadForStartingInstances(t *testing.T) {
 	for name, x := range map[string]struct {
 		partitioned, late []int
-		most              int
+		maxReads          int
 	}{
 		"seed answers":        {nil, nil, 2},
 		"seed is partitioned": {[]int{0}, nil, 30},
@@ -726,7 +729,7 @@
 
 				for n := 1; n < 4; n++ {
 					is.Equal(f.instances[n].handler.get("k"), "1")
-					is.True(f.platform.reads[n] <= x.most)
+					is.True(f.platform.reads[n] <= x.maxReads)
 				}
 
 				f.platform.mu.Unlock()
@@ -737,14 +740,14 @@
 	}
 }
 
-// Guards against waits that fit only one platform: where changes may take longer, fewer reads are needed, and where
-// they may not, changes must still arrive in time, also when the reader is partitioned. Of more than two seconds, one
-// second is reserved for the transfer of a long record.
+// Guards against waits that suit only one permitted propagation time of changes. A longer one must need fewer reads,
+// and with a shorter one changes must still arrive in time, also when the reader is partitioned. Of a propagation time
+// above two seconds, one second is reserved for the transfer of a long record.
 func TestReadsFitTheTimeOfChanges(t *testing.T) {
 	for name, x := range map[string]struct {
 		within time.Duration
-		// most is how many reads the platform may receive in 20 seconds without changes.
-		most int
+		// maxReads is how many reads the platform may receive in 20 seconds without changes.
+		maxReads int
 	}{
 		"one second":    {time.Second, 70},
 		"two seconds":   {2 * time.Second, 35},
@@ -772,7 +775,7 @@
 
 				time.Sleep(20 * time.Second)
 
-				i.True(reads()-b <= x.most)
+				i.True(reads()-b <= x.maxReads)
 
 				r := f.topReader()
 
@@ -800,10 +803,10 @@
 func TestOneSeedReadsForTheOthers(t *testing.T) {
 	for name, x := range map[string]struct {
 		partitioned []int
-		most        int
+		maxReads    int
 	}{
 		"none is partitioned": {nil, 30},
-		// Whichever seed reads for the others, it is the partitioned one in one of the cases.
+		// In one of these cases the partitioned seed is the one that reads for the others.
 		"first is partitioned":  {[]int{0}, 75},
 		"second is partitioned": {[]int{1}, 75},
 		"third is partitioned":  {[]int{2}, 75},
@@ -837,7 +840,7 @@
 
 				f.platform.mu.Unlock()
 				stop()
-				is.True(all <= x.most)
+				is.True(all <= x.maxReads)
 			})
 		})
 	}
@@ -872,8 +875,8 @@
 			is.True(strings.HasPrefix(i.handler.get("k"), "7{"))
 		}
 
-		// Replies that timed out are still sent and delay later ones, so all of them together must
-		// fit half of one instance's link.
+		// Replies that timed out are still sent and delay later replies, so the transfer of all replies
+		// together must take at most half of the time.
 		f.mu.Lock()
 		d := time.Duration(f.sent) * f.perByte
 		f.mu.Unlock()
@@ -895,13 +898,13 @@
 		f.mu.Unlock()
 
 		const (
-			most  = 1000
-			every = 5 * time.Millisecond
+			targets  = 1000
+			interval = 5 * time.Millisecond
 		)
 
-		for n := range most {
+		for n := range targets {
 			f.platform.put("t"+strconv.Itoa(n), entry(n))
-			time.Sleep(every)
+			time.Sleep(interval)
 		}
 
 		f.platform.put("t0", "")
@@ -909,7 +912,7 @@
 
 		for _, i := range f.instances {
 			is.Equal(i.handler.get("t0"), "")
-			is.Equal(i.handler.get("t"+strconv.Itoa(most-1)), entry(most-1))
+			is.Equal(i.handler.get("t"+strconv.Itoa(targets-1)), entry(targets-1))
 		}
 
 		f.mu.Lock()
@@ -917,7 +920,7 @@
 		f.mu.Unlock()
 
 		stop()
-		is.True(d < most*every/2) // Half of the seed's link is reserved for calls.
+		is.True(d < targets*interval/2) // Half of the seed's link is reserved for calls.
 	})
 }
 
--- a/internal/repeater/stream.go
+++ b/internal/repeater/stream.go
@@ -35,9 +35,9 @@
 	// skipped is the instance that is not used as the upstream for a while after skippedAt.
 	skipped   uint64
 	skippedAt time.Time
-	// platformFailed reports whether the platform did not answer this instance's last call.
+	// platformFailed reports whether this instance's last call to the platform failed.
 	platformFailed bool
-	// lastArrival is when a part of an answer last arrived.
+	// lastArrival is when a part of an answer last arrived, here or at the upstream.
 	lastArrival time.Time
 	relayer     *relayer.Relayer
 	// loggedUpstream is the upstream last logged; it is invalid when this instance reads from the platform.
@@ -61,9 +61,9 @@
 	return s.cache.confirmed
 }
 
-// Follow implements watcher.Source. It reads through the upstream. Without one, or when it fails, it reads from the
-// platform, and when that fails, from random other instances. It fails with watcher.ErrTruncated, or when nothing
-// answers.
+// Follow implements watcher.Source. It reads from the upstream. Without an upstream, or when that read fails, it
+// reads from the platform, and when that fails too, from random other instances. It fails with
+// watcher.ErrTruncated, or when neither the platform nor an instance answers.
 func (s *Stream) Follow(c context.Context, from int64, wait time.Duration) ([]watcher.Record, int64, error) {
 	x, ok := s.upstream()
 	s.logUpstream(x.member, ok)
@@ -79,8 +79,8 @@
 
 		s.reportFailure(x, time.Since(b), err)
 
-		// The failed read may have used up the time for waiting, and the platform must be read before changes
-		// are late.
+		// The failed read may have used up the wait budget. Unless the records were confirmed recently, the
+		// platform must answer at once, or changes would arrive late.
 		if time.Since(s.ConfirmedAt()) > s.fraction(recentFraction) {
 			wait = 0
 		}
@@ -139,7 +139,7 @@
 		return nil, 0, errors.CombineErrors(err, e)
 	}
 
-	// The reply is applied before the pause, because its age is relative to its arrival.
+	// The reply is applied before the pause, because the age that it contains is relative to its arrival.
 	l, n, err := s.applyReply(p, from)
 	if n <= from {
 		sleeper.Sleep(c, peerRoundPause)
@@ -173,7 +173,7 @@
 		return nil, from, nil
 	}
 
-	// Keys that are not in the list are deleted, which is a record without a value.
+	// Keys that are missing from a snapshot were deleted. Each of them is returned as a record without a value.
 	k := make(map[string]bool, len(l))
 	for _, r := range l {
 		k[r.Key] = true
@@ -196,8 +196,9 @@
 // reset replaces the records by the newest of each key. It fails with errStaleList when they are from an older state
 // than the ones already read.
 //
-// If such a list were stored, later records would be added after a gap. Instances that request records from within
-// the gap would receive none of it, and those that request from before it would delete the targets added in it.
+// If such a list were stored, later records would be added after a gap. Instances that request records from an
+// offset within the gap would not receive the missing records. Instances that request from an offset before the gap
+// would receive all keys without the targets added within the gap, and delete these targets.
 func (s *Stream) reset(confirmed time.Time, l []watcher.Record, next int64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/repeater/upstream.go
+++ b/internal/repeater/upstream.go
@@ -15,10 +15,10 @@
 	"github.com/auburntray/auburntray/internal/watcher"
 )
 
-// reportFailure handles the failure of a read through an upstream. The reader of this data centre is suspected of
+// reportFailure handles the failure of a read from the upstream. The reader of this data centre is suspected of
 // having crashed when it can't be reached. When its records are too old, it is only skipped for a while: the
 // platform may refuse it, and in an outage of the platform every instance would be suspected. The region's reader
-// is also only skipped, because it may be unreachable only from here.
+// is only skipped in both cases, because it may be unreachable only from this instance.
 func (s *Stream) reportFailure(x upstream, took time.Duration, err error) {
 	switch {
 	case errors.Is(err, errRedirect):
@@ -40,17 +40,19 @@
 // upstream is the instance through which this one reads.
 type upstream struct {
 	member gossiper.Member
-	// wait is how long it is asked to wait for a change, and stale the greatest age of its records.
+	// wait is how long a request waits at the member for a change, and stale the greatest accepted age of the
+	// member's records.
 	wait, stale time.Duration
-	// regional reports whether it is the region's reader, through which this instance reads for its data centre.
+	// regional reports whether the member is the region's reader, from which this instance reads for its data
+	// centre, or the seed from which the other seeds read.
 	regional bool
 }
 
 // upstream returns the upstream, and false when this instance reads from the platform.
 //
 // Each read from the platform is billed, whether it returns records or not. So one instance reads for the region,
-// one of each other data centre through it, and all others through these. When an upstream fails, the instances
-// that read through it read from the platform at once.
+// one instance of each other data centre reads from that one, and all other instances read from the one of their
+// data centre. When an upstream fails, the instances that read from it read from the platform at once.
 func (s *Stream) upstream() (upstream, bool) {
 	m := s.repeater.members
 	if time.Since(s.repeater.started) < settlePeriod {
@@ -78,8 +80,8 @@
 }
 
 // reader returns the reader of a data centre: the home (home node) of the stream, or, when other instances have
-// links of a higher class, one of those with the highest. While a long record arrives over a narrow-bandwidth link,
-// its instance answers no requests for a second.
+// links of a higher class, one of those with the highest. An instance with a narrow-bandwidth link answers no
+// requests for a second while a long record arrives.
 func (s *Stream) reader(centre string) (gossiper.Member, bool) {
 	// The home of a key depends on the list of data centres, so each data centre has its own key.
 	k := hasher.Key("reader", s.name, centre)
@@ -131,11 +133,13 @@
 	})
 }
 
-// seed returns a seed as the upstream, and false when this instance reads from the platform, or a seed failed within
-// seedSkipPeriod. One seed reads from the platform, the others through it.
+// seed returns a seed as the upstream, and false when this instance reads from the platform, because it is the seed
+// that does so or because a seed failed within seedSkipPeriod. One seed reads from the platform, and the other seeds
+// read from that one.
 //
 // An instance that has just started does not know the others of its data centre. When many start at once, each would
-// read from the platform until they know each other, at a cost that is most of that of a day without incidents.
+// read from the platform until they know each other, which would cost almost as much as a whole day of normal
+// operation.
 func (s *Stream) seed() (upstream, bool) {
 	m := s.repeater.members
 	l := m.Seeds()
@@ -160,10 +164,11 @@
 }
 
 // probesPlatform reports whether this instance calls the platform in this round. It does if the platform answered
-// its last call or if it is its data centre's reader, and else with a probability.
+// its last call or if it is its data centre's reader. Otherwise it does so at random, so that about proberCount
+// instances of the data centre call in each round.
 //
-// In an outage every instance would retry, and each refusal is billed. A few suffice: the others receive the records
-// from these.
+// In an outage every instance would retry, and each refusal is billed. A few calling instances suffice, because the
+// others receive the records from them.
 func (s *Stream) probesPlatform() bool {
 	s.mu.Lock()
 	r := s.platformFailed
--- a/internal/sender/command.go
+++ b/internal/sender/command.go
@@ -16,8 +16,8 @@
 	maxCommandBytes = 64 << 10
 )
 
-// modelCommand is the body of a command to a target, and of its answer when it is
-// requested to report its last command.
+// modelCommand is the body of a command to a target. It is also the body of the target's
+// answer to a request for the last command that it accepted.
 type modelCommand struct {
 	Model string `json:"model"`
 	Fence uint64 `json:"fence"`
--- a/internal/sender/errors.go
+++ b/internal/sender/errors.go
@@ -10,7 +10,7 @@
 	ErrBroken = errors.New("the answer is incomplete")
 	// ErrWrongRequest means that an answer carries the ID of another request.
 	ErrWrongRequest = errors.New("the answer belongs to another request")
-	// ErrTooLong means that an answer exceeds what is buffered in memory.
+	// ErrTooLong means that an answer is longer than the router buffers in memory.
 	ErrTooLong = errors.New("the answer is too long")
 	// ErrFenced means that a target has received the fencing token of a later lease.
 	ErrFenced = errors.New("the target has received a command under a later lease")
--- a/internal/sender/event.go
+++ b/internal/sender/event.go
@@ -19,7 +19,7 @@
 
 // Event is one server-sent event of a streamed answer.
 type Event struct {
-	// Raw is the event as received, with the empty line that ends it.
+	// Raw is the event as received, including the empty line at its end.
 	Raw []byte
 	// ID is the ID of the answer, empty when the event has none.
 	ID string
@@ -28,7 +28,7 @@
 	Text    string
 	// Done reports that the answer is complete.
 	Done bool
-	// The token counts of the usage event, zero in other events.
+	// PromptTokens and CachedTokens are the token counts of the usage event, zero in other events.
 	PromptTokens, CachedTokens int
 }
 
@@ -83,7 +83,7 @@
 		}
 
 		if d, ok := bytes.CutPrefix(l, []byte(dataPrefix)); ok {
-			o.read(d)
+			o.decode(d)
 		}
 	}
 }
@@ -93,7 +93,9 @@
 	return e.reader.Buffered() > 0
 }
 
-func (e *Event) read(d []byte) {
+// decode sets the fields of the event from the content of its data field. Content that is not
+// a JSON object of the expected form is ignored.
+func (e *Event) decode(d []byte) {
 	if string(d) == dataDone {
 		e.Done = true
 
--- a/internal/sender/header.go
+++ b/internal/sender/header.go
@@ -7,9 +7,9 @@
 	"github.com/auburntray/auburntray/internal/exchanger"
 )
 
-// isStripped reports whether a header field is not forwarded: the fields of one
-// connection (RFC 9110, section 7.6.1), and those between the router and its callers
-// or targets.
+// isStripped reports whether a header field is not forwarded. These are the fields that
+// concern one connection (RFC 9110, section 7.6.1), and those that the router exchanges
+// with its callers or its targets.
 func isStripped(name string) bool {
 	switch http.CanonicalHeaderKey(name) {
 	case "Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
@@ -23,7 +23,8 @@
 	return false
 }
 
-// copyHeader copies the fields that are forwarded. Fields named by Connection belong to one connection too.
+// copyHeader copies the fields of h that are forwarded to o. Fields that the Connection field names are not
+// forwarded either.
 func copyHeader(o, h http.Header) {
 	n := make(map[string]bool)
 
@@ -41,7 +42,7 @@
 }
 
 // CopyAnswerHeader copies the header fields of a target's answer that are forwarded to the
-// caller. The fields in which targets report their state to the router are omitted.
+// caller from h to o. The fields in which targets report their state to the router are omitted.
 func CopyAnswerHeader(o, h http.Header) {
 	copyHeader(o, h)
 }
--- a/internal/sender/health.go
+++ b/internal/sender/health.go
@@ -18,7 +18,7 @@
 const healthPath = "/health"
 
 // Probe requests the health status of a target. It fails with ErrNeverSent or
-// ErrBroken, the latter also for a status other than 200, unless the target reports
+// ErrBroken. A status other than 200 is an ErrBroken too, unless the target reports
 // that it is leaving.
 func (s *Sender) Probe(c context.Context, a netip.AddrPort) (supervisor.Health, error) {
 	u := s.targetURL(a, healthPath)
--- a/internal/sender/sender.go
+++ b/internal/sender/sender.go
@@ -39,7 +39,7 @@
 // Sender is an HTTP client of all targets. It is safe for concurrent use.
 type Sender struct {
 	scheme string
-	// reused keeps connections alive; fresh opens one for each request.
+	// reused reuses connections; fresh opens a new connection for each request.
 	reused *http.Transport
 	fresh  *http.Transport
 	prober *prober.Prober
@@ -97,8 +97,8 @@
 	return &url.URL{Scheme: s.scheme, Host: a.String(), Path: path}
 }
 
-// do sends a request. It fails with ErrNeverSent when it got no connection, whether the
-// dial, the handshake or the wait for one failed, and with ErrBroken otherwise.
+// do sends a request. It fails with ErrNeverSent when it obtained no connection, because the
+// dial, the handshake or the wait for a connection failed, and with ErrBroken otherwise.
 func do(t *http.Transport, q *http.Request) (*http.Response, error) {
 	var connected atomic.Bool
 
--- a/internal/sender/sender_test.go
+++ b/internal/sender/sender_test.go
@@ -48,7 +48,7 @@
 
 // Guards against callers receiving the load and incarnation that targets report to
 // the router, or header fields of the connection to the target.
-func TestCopyAnswer(t *testing.T) {
+func TestCopyAnswerHeader(t *testing.T) {
 	i := is.New(t)
 	h := http.Header{}
 	sender.CopyAnswerHeader(h, http.Header{
@@ -58,7 +58,7 @@
 	i.Equal(h, http.Header{"Content-Type": {"a"}, "Set-Cookie": {"a", "b"}})
 }
 
-func TestReport(t *testing.T) {
+func TestParseHealth(t *testing.T) {
 	for name, tc := range map[string]struct {
 		header      http.Header
 		requests    int
--- a/internal/streamer/streamer.go
+++ b/internal/streamer/streamer.go
@@ -24,8 +24,8 @@
 }
 
 // Reducer derives its state from the records of a stream. The Streamer calls it
-// with each retained record once, in the order of the log, and holds the lock of View
-// meanwhile.
+// with each retained record once, in the order of the log. During such a call, View is
+// blocked.
 type Reducer interface {
 	// ApplyRecord applies the record at an offset, which the log appended at the given time.
 	ApplyRecord(offset uint64, at time.Time, data []byte)
@@ -37,7 +37,8 @@
 	log    Log
 	stream string
 
-	// writing is held by the caller that appends the records of all waiting callers.
+	// writing is held by the caller of Append or AppendAfter that is appending the queued records,
+	// including those of other callers.
 	writing sync.Mutex
 
 	mu      sync.Mutex
@@ -45,10 +46,10 @@
 	// next is the offset of the first record that has not been applied.
 	next  uint64
 	queue []*pending
-	// flushed is the start of the last append.
-	flushed time.Time
-	// clock is the log's time at the time read of this router's clock.
-	clock, read time.Time
+	// lastAppend is when the last append started.
+	lastAppend time.Time
+	// logTime is the time of the log's clock when this router's clock showed localTime.
+	logTime, localTime time.Time
 }
 
 // pending is a record that is queued for an append.
@@ -78,7 +79,7 @@
 	x := s.enqueue(data)
 
 	s.mu.Lock()
-	w := gap - time.Since(s.flushed)
+	w := gap - time.Since(s.lastAppend)
 	s.mu.Unlock()
 
 	t := time.NewTimer(max(w, 0))
@@ -114,8 +115,8 @@
 	return x
 }
 
-// CatchUp reads and applies records up to the given offset, or up to the present end of the
-// stream if the offset is zero. It returns the log's error if a read fails.
+// CatchUp reads and applies the records before the given offset or, if the offset is zero, all
+// records up to the present end of the stream. It returns the log's error if a read fails.
 func (s *Streamer) CatchUp(c context.Context, until uint64) error {
 	for {
 		s.mu.Lock()
@@ -142,7 +143,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	f(s.clock.Add(time.Since(s.read)))
+	f(s.logTime.Add(time.Since(s.localTime)))
 }
 
 // flush appends up to maxBatch queued records. Requires s.writing to be held.
@@ -157,7 +158,7 @@
 	}
 
 	s.mu.Lock()
-	s.flushed = time.Now()
+	s.lastAppend = time.Now()
 	s.mu.Unlock()
 
 	d := make([][]byte, len(q))
@@ -193,8 +194,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	s.clock = b.Now
-	s.read = time.Now()
+	s.logTime = b.Now
+	s.localTime = time.Now()
 	// No reducer needs records that are old enough for the log to have dropped them.
 	s.next = max(s.next, b.Oldest)
 
--- a/internal/watcher/watcher.go
+++ b/internal/watcher/watcher.go
@@ -21,22 +21,22 @@
 const (
 	// waitFraction is the part of the wait budget for which a read waits for a change. Longer waits cost fewer
 	// reads, each of which is billed. But a read that is in progress when the network partitions never returns,
-	// and no change is received until it times out, extender.IdleTimeout after its wait. Instances that read
-	// through this one receive none for as long.
+	// and no change is received until it times out, extender.IdleTimeout after its wait. Nor do the instances that
+	// read through this one receive changes during that time.
 	waitFraction = 0.35
 	// newestTimeout bounds a read of all keys. The source usually answers within a few milliseconds, and within
 	// 250 ms when it is slow. But 3,000 targets are 1.2 MB, which take one second on an otherwise idle link of
 	// 10 Mbit/s. With a shorter timeout each attempt would start over, and none would complete.
 	newestTimeout = 2500 * time.Millisecond
-	// shortTimeout bounds reads after a failed one, which do not wait for changes. A read that waits and was
-	// started during an outage would not show when the outage ends.
+	// shortTimeout bounds reads after a failed one. These do not wait for changes: a read that was started during an
+	// outage and waits would delay the detection of the outage's end.
 	shortTimeout = 600 * time.Millisecond
 	// minRetryPause and maxRetryPause bound the pause after a failed read. It is random up to a limit that
 	// doubles with each consecutive failure. The source may recover at any moment, but in a long outage every
 	// instance retries, and refused reads are billed too.
 	minRetryPause = 100 * time.Millisecond
 	maxRetryPause = 800 * time.Millisecond
-	// maxDoublings bounds the exponent; maxRetryPause is reached before.
+	// maxDoublings bounds how often the pause is doubled; maxRetryPause is reached before.
 	maxDoublings = 4
 )
 
@@ -63,15 +63,15 @@
 // Handler processes the records that a Watcher reads. Its methods are called one
 // at a time.
 type Handler interface {
-	// Reset replaces all records by the newest of each key, of which all before the
-	// offset end are included. It fails, and changes nothing, when the list is from an
-	// older state than the records received before; the list is then read again.
+	// Reset replaces all records by the newest of each key. The list includes all
+	// changes before the offset end. Reset fails, and changes nothing, when the list is
+	// from an older state than the records received before; the list is then read again.
 	Reset(l []Record, end int64) error
 	// Change applies one record.
 	Change(r Record)
-	// Read is called after each successful read, with how long reads had failed
-	// before it; zero when the read before it succeeded.
-	Read(away time.Duration)
+	// Read is called after each successful read. The outage is how long reads had
+	// failed before; it is zero when the previous read succeeded.
+	Read(outage time.Duration)
 	// Failed is called after each failed read.
 	Failed(err error)
 }
--- a/internal/watcher/watcher_test.go
+++ b/internal/watcher/watcher_test.go
@@ -79,7 +79,8 @@
 	return o
 }
 
-func (s *source) set(f func()) {
+// update calls f, which changes or reads the source, under its lock.
+func (s *source) update(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f()
@@ -172,11 +173,11 @@
 				time.Sleep(time.Second)
 				is.Equal(h.get("k"), "1")
 
-				s.set(func() { x.start(s) })
+				s.update(func() { x.start(s) })
 				time.Sleep(5 * time.Second)
-				s.set(func() { x.stop(s) })
+				s.update(func() { x.stop(s) })
 				time.Sleep(time.Second)
-				s.set(func() {
+				s.update(func() {
 					s.newest = []watcher.Record{{Key: "k", Value: []byte("2"), Offset: 1}}
 					s.end = 2
 				})
@@ -199,7 +200,7 @@
 		h, stop := run(t, s)
 
 		time.Sleep(time.Second)
-		s.set(func() {
+		s.update(func() {
 			s.err = watcher.ErrTruncated
 			s.newest = []watcher.Record{{Key: "k", Value: []byte("old"), Offset: 3}}
 			s.end = 4
@@ -229,7 +230,7 @@
 		is.Equal(h.resets, 0)
 		h.err = nil
 		h.mu.Unlock()
-		s.set(func() { s.newest = []watcher.Record{{Key: "k", Value: []byte("new"), Offset: 7}} })
+		s.update(func() { s.newest = []watcher.Record{{Key: "k", Value: []byte("new"), Offset: 7}} })
 
 		time.Sleep(2 * time.Second)
 		is.Equal(h.get("k"), "new")
@@ -248,11 +249,11 @@
 		_, stop := run(t, s)
 
 		time.Sleep(30 * time.Second)
-		s.set(func() { is.True(s.reads <= 45) })
+		s.update(func() { is.True(s.reads <= 45) })
 
-		s.set(func() { s.err = errUnavailable; s.reads = 0 })
+		s.update(func() { s.err = errUnavailable; s.reads = 0 })
 		time.Sleep(10 * time.Second)
-		s.set(func() { is.True(s.reads > 12 && s.reads < 40) })
+		s.update(func() { is.True(s.reads > 12 && s.reads < 40) })
 
 		stop()
 		time.Sleep(time.Second)
@@ -266,9 +267,9 @@
 		h, stop := run(t, s)
 
 		time.Sleep(time.Second)
-		s.set(func() { s.err = errUnavailable })
+		s.update(func() { s.err = errUnavailable })
 		time.Sleep(4 * time.Second)
-		s.set(func() { s.err = nil })
+		s.update(func() { s.err = nil })
 		time.Sleep(time.Second)
 		stop()
 		time.Sleep(time.Second)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -49,7 +49,7 @@
 	KindUpdateRelay
 	// KindReserve requests a slot for a call from the home of a target (home node).
 	KindReserve
-	// KindVacate releases such a reservation.
+	// KindVacate releases a slot that was reserved with KindReserve.
 	KindVacate
 	// KindOccupancy reports the load of a target to its home.
 	KindOccupancy
@@ -57,7 +57,7 @@
 	KindSuspects
 	// KindSuspectsRelay is KindSuspects for all instances of the receiver's data centre.
 	KindSuspectsRelay
-	// KindSuspectsRequest requests all records that an instance has of such calls.
+	// KindSuspectsRequest requests all records that an instance has of calls during which targets crashed.
 	KindSuspectsRequest
 	// KindTrial requests a trial of a suspected call from its home, or reports that the trial is finished.
 	KindTrial
@@ -114,7 +114,10 @@
 	Unknown    []uint64
 }
 
-// SlotRequest requests a slot from the home of a cell. The requester is the sender.
+// SlotRequest requests a slot from the home of a cell. The requester is the sender, and Seq
+// its sequence number of the request. Customer is the hash of the customer's name, Prompt the
+// estimated length of the prompt in tokens, and Hint the ID of the target that the caller's
+// placement token names. Excluded are the IDs of the targets that must not be chosen.
 type SlotRequest struct {
 	Seq      uint32
 	Cell     uint32
@@ -130,9 +133,9 @@
 	Forwarded bool
 }
 
-// SlotReply is the reply to a request for a slot. Reason is a granter.Reason. When it
-// redirects the request, Target is the ID of the cell to request from. Flags are a
-// combination of the Flag constants.
+// SlotReply is the reply to a request for a slot. Reason is a granter.Reason. Target is
+// the ID of the target of the granted slot or, when the reply redirects the request, the
+// ID of the cell to request a slot from. Flags are a combination of the Flag constants.
 type SlotReply struct {
 	Reason       uint8
 	Target       uint32
@@ -148,7 +151,8 @@
 	FlagReportDue
 )
 
-// Release returns a granted slot. NeverSent reports that the call was certainly not sent.
+// Release returns the slot that was granted for the request Seq. OK reports that the target
+// answered, and NeverSent that the call was certainly not sent.
 type Release struct {
 	Seq       uint32
 	Cell      uint32
@@ -164,7 +168,8 @@
 }
 
 // Report forwards the state that a target reported when its answer began. A negative
-// Requests means no load report, an Incarnation of zero no change of state.
+// Requests means that there is no load report, and an Incarnation of zero that the state
+// has not changed.
 type Report struct {
 	Cell        uint32
 	Target      uint32
@@ -173,7 +178,7 @@
 	Leaving     bool
 }
 
-// Grant is one slot that an instance has been granted.
+// Grant is one slot that an instance has been granted, with the sequence number of its request.
 type Grant struct {
 	Seq      uint32
 	Target   uint32
@@ -188,7 +193,9 @@
 	Grants []Grant
 }
 
-// Claim requests the home of a key's partition to claim the key.
+// Claim requests the home of a key's partition to claim the key. ID identifies the claim,
+// Body is the hash of the request body, and DeadlineMs the time left until the call's
+// deadline.
 type Claim struct {
 	Key        uint64
 	Body       uint64
@@ -206,7 +213,7 @@
 	RetryAfterMs uint32
 }
 
-// Settle requests that the outcome of a claimed call be recorded.
+// Settle requests that the outcome of a claimed call be recorded. State is a claimer.Outcome.
 type Settle struct {
 	Key         uint64
 	ID          uint64
@@ -248,9 +255,9 @@
 	Placements []Placement
 }
 
-// CellLoad reports the load of a cell to the homes of the other cells of its pool.
-// The work in flight is in thousandths of a request; Weight is the number of requests
-// that the cell can run at once.
+// CellLoad reports the load of the cell From to the home of the cell To of the same pool.
+// MilliRequests is the work in flight, in thousandths of a request. Weight is the number
+// of requests that the cell can run at once.
 type CellLoad struct {
 	From          uint32
 	To            uint32
@@ -282,10 +289,11 @@
 }
 
 // StreamReply carries records in order, and the offset after the last. Either they
-// follow the requested offset or they are a snapshot: the newest record of each key,
-// where keys that are missing were removed.
-// AgeMs is how long ago the sender last received from the platform. Packed, unless it
-// is empty, replaces Records: a StreamRecords, compressed by DEFLATE.
+// are the records from the requested offset on, or they are a snapshot: the newest
+// record of each key, in which keys that were removed are missing.
+// AgeMs is how long ago the platform last confirmed that the sender's records are the
+// newest. Packed, unless it is empty, replaces Records: it is a StreamRecords, compressed
+// by DEFLATE.
 //
 // A reply may redirect the requester to the address of another instance that has the
 // records, since the sender's link has no capacity left. LastArrivalMs is how long ago the
@@ -316,16 +324,17 @@
 	Packed bool
 }
 
-// Update notifies other instances to which targets the sender sent which prompt prefixes
-// lately, and of the load that targets reported to it.
+// Update notifies other instances of the prompt prefixes that the sender lately sent to
+// targets, with the target of each, and of the loads that targets reported to the sender.
 type Update struct {
 	Holders []Holder
 	Loads   []LoadReport
 }
 
 // Gone reports processes that are gone, since the sender found other targets at their
-// addresses: the IDs of their targets, and when they started in Unix milliseconds, or the
-// zero time's value where that is unknown. Both lists have the same length.
+// addresses. Targets are the IDs of their targets. StartsMs are the times at which the
+// processes started, in Unix milliseconds; an unknown one is that of the zero time.Time.
+// Both lists have the same length.
 type Gone struct {
 	Targets  []string
 	StartsMs []int64
@@ -339,7 +348,7 @@
 }
 
 // LoadReport is the load of a target: the number of its calls, running and waiting, and
-// how long ago it reported them. Target is as in Holder.
+// how long ago the target reported this number. Target is as in Holder.
 type LoadReport struct {
 	Target uint32
 	Calls  uint32
@@ -347,10 +356,11 @@
 }
 
 // Reserve requests a slot for one call from the home of a target. Target is as in Holder;
-// Number is the sender's own number of the reservation. The maximum number of calls at the
-// target includes this one, and the reservation expires at the end of its lifetime. The median
-// latency is that of the group's targets, in hundredths of the time within which an answer is
-// of full use. A slot at an excluded target is granted only if the request allows it.
+// Number is the sender's own number of the reservation. MaxCalls is the maximum number of
+// calls at the target, including this one. The reservation expires after LifetimeMs.
+// MedianLatency is the median latency of the group's targets, in hundredths of the latency
+// objective (the time within which an answer is of full use to the caller). A slot at an
+// excluded target is granted only if AllowExcluded is set.
 type Reserve struct {
 	Target        uint32
 	Number        uint64
@@ -368,9 +378,9 @@
 	Latency uint32
 }
 
-// Vacate releases the reservation of that number, with an aggregator.Result, which states what
-// the call showed about the target, and the latency of the answer in hundredths as in Reserve,
-// zero when no answer began.
+// Vacate releases the reservation with the given Number. Result is an aggregator.Result: what
+// the call showed about the target. Latency is the latency of the answer in hundredths as in
+// Reserve, zero when no answer began.
 type Vacate struct {
 	Target  uint32
 	Number  uint64
@@ -384,25 +394,26 @@
 	Calls  uint32
 }
 
-// Suspects reports calls during which targets crashed. As a reply it carries the fingerprint of
-// the sender's records, and the requester then sends the records that the sender lacks. The
-// sender also reports whether it has received the records from before its start.
+// Suspects reports calls during which targets crashed. As a reply it carries the Fingerprint of
+// the sender's records, and the requester then sends the records that the sender lacks. Synced
+// reports whether the sender has received the records from before its start.
 type Suspects struct {
 	Calls       []Suspect
 	Fingerprint uint64
 	Synced      bool
 }
 
-// Suspect is one such call: its digest, how long ago it was last received, and the crashes.
+// Suspect is a call during which targets crashed: its digest, how long ago the call was last
+// received, and the crashes.
 type Suspect struct {
 	Call       uint64
 	LastSeenMs uint32
 	Crashes    []SuspectCrash
 }
 
-// SuspectCrash is a crash of a process, by its short name as in Holder, and how long ago it
-// was. The flags report whether the call was served since, and whether it had been served
-// shortly before.
+// SuspectCrash is a crash of a target's process while a suspected call ran there. Target is as
+// in Holder, and AgeMs is how long ago the crash was. Cleared reports whether the call was
+// served since the crash, and ServedBefore whether it had been served shortly before the crash.
 type SuspectCrash struct {
 	Target       uint32
 	AgeMs        uint32
@@ -424,8 +435,8 @@
 }
 
 // Trial requests permission from the home of a suspected call to send it to a target now.
-// When the trial is finished, it reports instead that the target has answered or crashed. Known
-// are the sender's records of the call.
+// With Finished set, it reports instead that the trial is over, since the target has answered or
+// crashed. Known holds the sender's records of the call.
 type Trial struct {
 	Call     uint64
 	Finished bool
@@ -438,8 +449,8 @@
 	Known   Suspects
 }
 
-// ReleaseRequest requests the release of quarantined calls: those of the digests or, when All
-// is set, all of them.
+// ReleaseRequest requests the release of quarantined calls: those with the digests in Calls or,
+// when All is set, all of them.
 type ReleaseRequest struct {
 	Calls []uint64
 	All   bool
@@ -451,7 +462,7 @@
 }
 
 // EvacuationsRequest requests the data centres that an instance considers evacuated. An empty
-// DataCentre requests all of them, another only that one.
+// DataCentre requests all of them, a name only the data centre of that name.
 type EvacuationsRequest struct {
 	DataCentre string
 }
@@ -461,9 +472,9 @@
 	Evacuations []Evacuation
 }
 
-// Evacuation is a data centre that is sent no new calls: how long the instance has known of it,
-// the number of its targets, and the calls that run there: those of the instance itself, and its
-// estimate for all instances.
+// Evacuation describes a data centre that is sent no new calls. AgeMs is how long the instance
+// has known of the evacuation. Targets is the number of targets in the data centre. OwnCalls are
+// the instance's own calls that run there, and AllCalls its estimate of those of all instances.
 type Evacuation struct {
 	DataCentre string
 	AgeMs      uint64
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -11,9 +11,9 @@
 	"github.com/auburntray/auburntray/internal/wire"
 )
 
-// oversized returns a truncated message with the given number of fields: some empty lists, then a
-// list that declares 2^24 elements and has none.
-func oversized(fields, before int) []byte {
+// oversized returns a truncated message that declares the given number of fields. It consists of the
+// given number of empty lists and of a list that declares 2^24 elements and has none.
+func oversized(fields, emptyLists int) []byte {
 	const (
 		fixArray = 0x90
 		array32  = 0xdd
@@ -21,7 +21,7 @@
 	)
 
 	b := []byte{fixArray | byte(fields)}
-	for range before {
+	for range emptyLists {
 		b = append(b, fixArray)
 	}
 
@@ -70,7 +70,7 @@
 	v := make([]byte, 4<<20)
 
 	for name, x := range map[string]struct {
-		sent, read interface {
+		sent, received interface {
 			msgp.Marshaler
 			msgp.Unmarshaler
 		}
@@ -107,9 +107,9 @@
 			b, err := x.sent.MarshalMsg(nil)
 			i.NoErr(err)
 
-			_, err = x.read.UnmarshalMsg(b)
+			_, err = x.received.UnmarshalMsg(b)
 			i.NoErr(err)
-			i.Equal(x.value(x.read), len(v))
+			i.Equal(x.value(x.received), len(v))
 		})
 	}
 }
--- a/pkg/publisher/config_reader.go
+++ b/pkg/publisher/config_reader.go
@@ -92,15 +92,15 @@
 	r.history = append(r.history, e)
 }
 
-// result returns the result of a publication by the verdict on its record. The revision is the one that
-// the publication created or, when it created none, the one in force.
+// result returns the result of the publication with an ID, from the verdict on its record. The revision is the
+// one that the publication created or, when it created none, the one in force.
 func (r *configReader) result(id string, v reducer.Verdict) Result {
 	o := Result{ID: id, Revision: r.reducer.State().Revision, Outcome: Stale}
 
 	switch v {
 	case reducer.Accepted:
-		// Others may have published since. With their revision as its base, the publisher's
-		// next change would undo theirs without the publisher having seen it.
+		// Other operators may have published since. If the result had their revision, this
+		// operator's next change would be based on it, and undo their changes unseen.
 		o.Outcome = Accepted
 		o.Revision = r.revisions[id]
 	case reducer.Ignored, reducer.Restored:
--- a/pkg/publisher/publisher.go
+++ b/pkg/publisher/publisher.go
@@ -42,8 +42,8 @@
 // Request is a document to publish.
 type Request struct {
 	Document []byte
-	// Base is the revision that the document was made from. A publication on
-	// any other revision is stale.
+	// Base is the revision that the document was made from. If another revision is in
+	// force, the publication is stale.
 	Base   uint64
 	Author string
 	// ID identifies the publication; empty means a new random ID.
@@ -97,7 +97,8 @@
 }
 
 // New returns a Publisher for the platform at an address, and its clean-up function.
-// The data centre is the caller's, which the platform receives with each request.
+// centre is the data centre that this process runs in; it is sent to the platform with each
+// request.
 func New(platform netip.AddrPort, centre string) (*Publisher, func()) {
 	r, f := recorder.New(platform, centre)
 
@@ -107,7 +108,7 @@
 // Publish publishes a document. It returns Accepted only after it has read its own
 // record back from the log and applied it: the record of an acknowledged append may
 // still be stale, if another publication was appended before it. It fails with
-// ErrDocument, ErrUnavailable or ErrNoState; nothing was published then.
+// ErrDocument, ErrUnavailable or ErrNoState; then nothing was published.
 func (p *Publisher) Publish(c context.Context, r Request) (Result, error) {
 	d, err := parser.Parse(r.Document)
 	if err != nil {
@@ -221,9 +222,9 @@
 	return nil
 }
 
-// publish appends a change and reads it back. It repeats the append while the effect is
-// uncertain. This applies the change at most once, since the first record that is accepted
-// makes the base of the others stale.
+// publish appends a change and reads it back. It repeats the append while its effect is
+// uncertain. The change is applied at most once nevertheless: once one of the records is
+// accepted, the base of the others is stale.
 func (p *Publisher) publish(c context.Context, f *configReader, r Request, x differ.Change) (Result, error) {
 	b, err := json.Marshal(reducer.Record{ID: r.ID, Author: r.Author, Time: time.Now(), Base: r.Base, Change: &x})
 	if err != nil {
--- a/pkg/publisher/publisher_test.go
+++ b/pkg/publisher/publisher_test.go
@@ -176,9 +176,9 @@
 	}
 }
 
-// Three operators publish and read concurrently while the log loses replies. Their histories
-// must be linearizable, which a false "accepted", a change that is applied twice or a
-// return to an older configuration is not.
+// Guards against a false "accepted", a change that is applied twice and a return to an older
+// configuration. Three operators publish and read concurrently while the log loses replies;
+// their histories must be linearizable.
 func TestConcurrentPublishersAreLinearizable(t *testing.T) {
 	i := is.New(t)
 	p, x := newPublisher(t, time.Hour)
