--- a/internal/filterer/accept.go
+++ b/internal/filterer/accept.go
@@ -36,8 +36,8 @@
 	var m *http.MaxBytesError
 	if errors.As(err, &m) {
 		return exchanger.Refuse(http.StatusRequestEntityTooLarge, exchanger.CodeTooLarge, 0,
-			"the request body is larger than %d bytes", m.Limit)
+			"the body is larger than %d bytes", m.Limit)
 	}
 
-	return exchanger.Refuse(http.StatusBadRequest, exchanger.CodeBadRequest, 0, "the request body could not be read")
+	return exchanger.Refuse(http.StatusBadRequest, exchanger.CodeBadRequest, 0, "the body can't be read")
 }
--- a/internal/filterer/attempt.go
+++ b/internal/filterer/attempt.go
@@ -145,16 +145,16 @@
 func (a *Attempt) failure(c context.Context, x *exchanger.Exchange, err error) error {
 	switch {
 	case x.Request.Context().Err() != nil:
-		return exchanger.Fail(exchanger.CodeCallerDisconnected, "the caller closed the connection")
+		return exchanger.Fail(exchanger.CodeCallerDisconnected, "the caller hung up")
 	case c.Err() != nil && !x.MayHaveRun:
-		return exchanger.Refuse(http.StatusGatewayTimeout, exchanger.CodeDeadline, 0, "the deadline passed before the call was run")
+		return exchanger.Refuse(http.StatusGatewayTimeout, exchanger.CodeDeadline, 0, "the deadline passed")
 	case c.Err() != nil:
-		r := exchanger.Fail(exchanger.CodeDeadline, "the deadline passed; the call may have run")
+		r := exchanger.Fail(exchanger.CodeDeadline, "the deadline passed")
 		r.Status = http.StatusGatewayTimeout
 
 		return r
 	case x.Relayed:
-		return exchanger.Fail(exchanger.CodeAnswerBroken, "the streamed answer was interrupted and could not be resumed")
+		return exchanger.Fail(exchanger.CodeAnswerBroken, "the answer broke off and could not be resumed")
 	case x.MayHaveRun:
 		return exchanger.Fail(exchanger.CodeTargetFailed, "the target failed: %v", err)
 	default:
--- a/internal/filterer/claim.go
+++ b/internal/filterer/claim.go
@@ -63,7 +63,7 @@
 	s, err := f.Claims.Claim(c, q)
 	if err != nil {
 		return exchanger.Refuse(http.StatusServiceUnavailable, exchanger.CodeLogUnavailable, defaultRetryAfter,
-			"the idempotency key can't be claimed at the moment; this call was not run, an earlier one with the key may have run")
+			"the key can't be claimed now; this call was not run, an earlier one with the key may have")
 	}
 
 	if s.Outcome == claimer.Won {
@@ -82,7 +82,7 @@
 		if s.Answer.Truncated {
 			return &exchanger.Refusal{
 				Code: exchanger.CodeAnswerNotRecorded, Status: http.StatusConflict, Outcome: exchanger.Ran,
-				Message: "the call ran, but its answer was streamed or too long to be recorded",
+				Message: "the call ran; its answer was too long to be recorded",
 			}
 		}
 
@@ -95,17 +95,17 @@
 		return errAnswered
 	case claimer.Mismatch:
 		return exchanger.Refuse(http.StatusUnprocessableEntity, exchanger.CodeKeyMismatch, 0,
-			"the idempotency key was used for a different request")
+			"the key was used for another request")
 	case claimer.InProgress:
 		return &exchanger.Refusal{
 			Code: exchanger.CodeInProgress, Status: http.StatusConflict, Outcome: exchanger.Unknown,
-			Message:    "a call with this idempotency key is in progress; retry later to get its answer",
+			Message:    "a call with this key is in progress; come back for its answer",
 			RetryAfter: min(max(s.RetryAfter, time.Millisecond), maxProgressRetryAfter),
 		}
 	default:
 		return &exchanger.Refusal{
 			Code: exchanger.CodeKeyUnknown, Status: http.StatusConflict, Outcome: exchanger.Unknown,
-			Message: "a call with this idempotency key may have run; it is not run again",
+			Message: "a call with this key may have run; it is not run again",
 		}
 	}
 }
--- a/internal/filterer/identify.go
+++ b/internal/filterer/identify.go
@@ -96,7 +96,7 @@
 	}
 
 	if err := json.Unmarshal(x.Body, &b); err != nil {
-		return exchanger.Refuse(http.StatusBadRequest, exchanger.CodeBadRequest, 0, "the body is not a valid chat completion: %v", err)
+		return exchanger.Refuse(http.StatusBadRequest, exchanger.CodeBadRequest, 0, "the body is no chat completion: %v", err)
 	}
 
 	if len(b.Messages) == 0 {
--- a/internal/filterer/match.go
+++ b/internal/filterer/match.go
@@ -30,16 +30,16 @@
 
 	if x.Config.State.Revision == 0 {
 		return exchanger.Refuse(http.StatusServiceUnavailable, exchanger.CodeNotReady, defaultRetryAfter,
-			"this router has no configuration yet")
+			"no configuration is in force here yet")
 	}
 
 	if !x.Config.Matcher.HasCustomer(x.Customer) {
-		return exchanger.Refuse(http.StatusForbidden, exchanger.CodeNoCustomer, 0, "customer %q is unknown", x.Customer)
+		return exchanger.Refuse(http.StatusForbidden, exchanger.CodeNoCustomer, 0, "customer %q is not known", x.Customer)
 	}
 
 	x.Rule = x.Config.Matcher.Match(x.Traffic)
 	if x.Rule == nil {
-		return exchanger.Refuse(http.StatusNotFound, exchanger.CodeNoRule, 0, "no rule matches this call")
+		return exchanger.Refuse(http.StatusNotFound, exchanger.CodeNoRule, 0, "no rule selects this call")
 	}
 
 	return nil
--- a/internal/filterer/send.go
+++ b/internal/filterer/send.go
@@ -13,7 +13,7 @@
 )
 
 // errClaimExpired means that too much time has passed since the claim to send the call.
-var errClaimExpired = errors.New("the claim of the idempotency key has expired; the call was not sent")
+var errClaimExpired = errors.New("too long after the claim")
 
 // targets sends calls to targets.
 type targets interface {
@@ -88,5 +88,5 @@
 
 	_ = r.Body.Close()
 
-	return errors.Newf("the target answered with status %d", r.StatusCode)
+	return errors.Newf("status %d", r.StatusCode)
 }
--- a/internal/forwarder/admit.go
+++ b/internal/forwarder/admit.go
@@ -40,7 +40,7 @@
 	n := time.Now()
 	l := admitter.Lane{Group: x.group, Priority: x.priority}
 
-	u := f.chooser.Fullness(n, f.state.Registry(), x.group)
+	u := f.selector.Fullness(n, f.state.Registry(), x.group)
 	if u < minLaneLoad {
 		return nil
 	}
@@ -54,7 +54,7 @@
 
 	x.ticket = f.enterLane(n, l, x, u, abandonFactor*x.rule.Latency)
 	if x.ticket == nil && u >= saturatedLoad {
-		return refuse(http.StatusServiceUnavailable, Overload, overloadWait, "targets are overloaded: %.1f calls per slot", u)
+		return refuse(http.StatusServiceUnavailable, Overload, overloadWait, "the targets have %.1f calls for each that they run", u)
 	}
 
 	return nil
--- a/internal/forwarder/attempt.go
+++ b/internal/forwarder/attempt.go
@@ -80,13 +80,13 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
-	f.chooser.Finish(time.Now(), t.Target, r.outcome)
+	f.selector.Finish(time.Now(), t.Target, r.outcome)
 
 	if r.err != nil && !relayed {
-		f.chooser.RevertPlacements(t)
+		f.selector.RevertPlacements(t)
 	}
 
-	return f.chooser.HealthChanges()
+	return f.selector.HealthChanges()
 }
 
 // mayRetry reports whether the call may be sent to another target. It consumes retry budget if so.
@@ -127,11 +127,11 @@
 
 		return nil
 	case !x.mayHaveRun && x.targetsFull:
-		return refuse(http.StatusServiceUnavailable, Overload, noTargetWait, "all targets are full and their queues are too long")
+		return refuse(http.StatusServiceUnavailable, Overload, noTargetWait, "the targets are full, and so are their lines")
 	case !x.mayHaveRun:
 		return f.refuseUnavailable(x)
 	case c.Err() != nil:
-		return refuse(http.StatusGatewayTimeout, DeadlineExceeded, 0, "no answer before the deadline")
+		return refuse(http.StatusGatewayTimeout, DeadlineExceeded, 0, "the answer did not come in time")
 	default:
 		return refuse(http.StatusBadGateway, NoAnswer, 0, "the target did not answer")
 	}
@@ -147,11 +147,11 @@
 	case len(r.Groups[x.group]) == 0 && len(r.Closed[x.group]) > 0:
 		return refuse(http.StatusServiceUnavailable, Evacuated, evacuatedWait, "all data centres with targets are evacuated")
 	case len(r.Groups[x.group]) == 0 && r.HasLeaving(x.group):
-		return refuse(http.StatusServiceUnavailable, TargetsLeaving, leavingWait, "all targets are shutting down")
+		return refuse(http.StatusServiceUnavailable, TargetsLeaving, leavingWait, "all targets leave")
 	case backoff > 0:
-		return refuse(http.StatusServiceUnavailable, TargetsBackingOff, afterSpread(backoff), "all targets have requested a backoff")
+		return refuse(http.StatusServiceUnavailable, TargetsBackingOff, afterSpread(backoff), "all targets have asked for rest")
 	case x.coldTargets > 0:
-		return refuse(http.StatusServiceUnavailable, TargetsCold, noTargetWait, "%d cold targets are at their rate limit", x.coldTargets)
+		return refuse(http.StatusServiceUnavailable, TargetsCold, noTargetWait, "%d targets are cold and bear no more calls now", x.coldTargets)
 	default:
 		return refuse(http.StatusServiceUnavailable, NoTarget, noTargetWait, "no target took the call")
 	}
@@ -289,7 +289,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
-	f.chooser.ConfirmPlacements(time.Now(), t)
+	f.selector.ConfirmPlacements(time.Now(), t)
 }
 
 // recordFirstPart records how long the call and the attempt took until the answer began.
@@ -315,8 +315,8 @@
 		return
 	}
 
-	x.reservation.pace = float64(n.Sub(x.attemptStart)) / float64(x.rule.Latency)
-	f.chooser.ObserveLatency(n, t.Target, x.reservation.pace)
+	x.reservation.latency = float64(n.Sub(x.attemptStart)) / float64(x.rule.Latency)
+	f.selector.ObserveLatency(n, t.Target, x.reservation.latency)
 }
 
 // hopByHopHeaders concern a single connection only and are not forwarded.
--- a/internal/forwarder/connectivity.go
+++ b/internal/forwarder/connectivity.go
@@ -41,7 +41,7 @@
 // other instances meanwhile, no call would show this. It is to be called periodically.
 func (f *Forwarder) CheckConnectivity(c context.Context) {
 	f.mu.Lock()
-	l := f.chooser.PartitionProbes(f.state.Registry())
+	l := f.selector.PartitionProbes(f.state.Registry())
 	f.mu.Unlock()
 
 	f.recordCutOff(len(l))
@@ -76,7 +76,7 @@
 	b := time.Now()
 
 	f.mu.Lock()
-	f.chooser.Start(b, t)
+	f.selector.Start(b, t)
 	f.mu.Unlock()
 
 	o := selector.Answered
@@ -95,5 +95,5 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
-	f.chooser.Finish(time.Now(), t, o)
+	f.selector.Finish(time.Now(), t, o)
 }
--- a/internal/forwarder/dialect.go
+++ b/internal/forwarder/dialect.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Dialect maps between HTTP headers and what callers, targets and the gateway tell each other. It
+// Dialect maps between HTTP headers and what callers, targets and the gateway send each other. It
 // must be safe for concurrent use.
 type Dialect interface {
 	// ReadCall returns the description of a call from a caller's headers. It fails if a header is
--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -71,7 +71,7 @@
 	rejectedLogs *rate.Limiter
 
 	mu       sync.Mutex
-	chooser  *selector.Selector
+	selector *selector.Selector
 	budgeter *budgeter.Budgeter
 	admitter *admitter.Admitter
 	// sharder decides when the customers of a group are limited to their shards of its targets.
@@ -124,7 +124,7 @@
 	k := newClient(x)
 
 	return &Forwarder{
-		settings: s, dialect: d, state: f, tracer: t, client: k, chooser: c, budgeter: b, admitter: admitter.New(), notifyGone: func(discoverer.Process) {}, notifyLeaving: func(discoverer.Process) {},
+		settings: s, dialect: d, state: f, tracer: t, client: k, selector: c, budgeter: b, admitter: admitter.New(), notifyGone: func(discoverer.Process) {}, notifyLeaving: func(discoverer.Process) {},
 		sharder: sharder.New(), sharded: make(map[string]bool),
 		meter: m, servedLogs: rate.NewLimiter(servedLogsPerSecond, servedLogsPerSecond),
 		rejectedLogs: rate.NewLimiter(rejectedLogsPerSecond, rejectedLogsPerSecond), stopping: make(chan struct{}),
@@ -262,7 +262,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
-	f.chooser.SetThrottle(s)
+	f.selector.SetThrottle(s)
 }
 
 // Running returns how many calls this instance has in flight at the targets of a data centre.
@@ -270,14 +270,14 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
-	return f.chooser.Running(centre)
+	return f.selector.Running(centre)
 }
 
 // Prune discards the state of processes that a changed registry no longer lists, and closes the
 // idle connections to them.
 func (f *Forwarder) Prune(r *discoverer.Registry) {
 	f.mu.Lock()
-	f.chooser.ApplyRegistry(time.Now(), r)
+	f.selector.ApplyRegistry(time.Now(), r)
 	f.mu.Unlock()
 
 	f.client.pool.prune(r)
@@ -288,7 +288,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
-	f.chooser.ApplyUpdate(time.Now(), f.state.Registry(), n)
+	f.selector.ApplyUpdate(time.Now(), f.state.Registry(), n)
 }
 
 // Views returns the targets as this instance sees them.
@@ -296,7 +296,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
-	return f.chooser.Views(time.Now(), f.state.Registry())
+	return f.selector.Views(time.Now(), f.state.Registry())
 }
 
 // MarkGone applies a notification from another instance that processes of targets are gone.
@@ -304,10 +304,10 @@
 	f.mu.Lock()
 
 	for _, p := range l {
-		f.chooser.ReportGone(time.Now(), f.state.Registry(), p)
+		f.selector.ReportGone(time.Now(), f.state.Registry(), p)
 	}
 
-	b := f.chooser.HealthChanges()
+	b := f.selector.HealthChanges()
 	f.mu.Unlock()
 
 	f.reportHealth(b, nil)
@@ -340,5 +340,5 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
-	return f.chooser.PendingUpdate()
+	return f.selector.PendingUpdate()
 }
--- a/internal/forwarder/intake.go
+++ b/internal/forwarder/intake.go
@@ -54,7 +54,7 @@
 	}
 
 	if n := headerBytes(x.request); x.catalog.Limits.MaxHeader > 0 && n > x.catalog.Limits.MaxHeader {
-		return refuse(http.StatusRequestHeaderFieldsTooLarge, HeaderTooLarge, 0, "headers too long: %d bytes, at most %d allowed", n, x.catalog.Limits.MaxHeader)
+		return refuse(http.StatusRequestHeaderFieldsTooLarge, HeaderTooLarge, 0, "the headers have %d bytes, at most %d are allowed", n, x.catalog.Limits.MaxHeader)
 	}
 
 	r, ok := x.catalog.Match(hostOf(x.request), x.request.URL.Path)
@@ -138,7 +138,7 @@
 
 	switch {
 	case errors.As(err, &m):
-		return refuse(http.StatusRequestEntityTooLarge, BodyTooLarge, 0, "body too long: at most %d bytes allowed", n)
+		return refuse(http.StatusRequestEntityTooLarge, BodyTooLarge, 0, "the body is longer than %d bytes", n)
 	case err != nil:
 		return errors.Mark(err, errCallerLeft)
 	}
--- a/internal/forwarder/quarantine.go
+++ b/internal/forwarder/quarantine.go
@@ -17,7 +17,7 @@
 )
 
 // Quarantine records the calls that were running when targets crashed, across all instances. It is
-// implemented by replicator.Warner.
+// implemented by replicator.Replicator.
 type Quarantine interface {
 	// Admit decides whether a call with a deadline may be sent to a target. The returned function
 	// must be called when the target has answered or crashed.
@@ -131,13 +131,13 @@
 }
 
 // witnesses returns the addresses of targets that are reachable if the given target's data centre
-// is. They distinguish a crash of the target from a network cut.
+// is. They distinguish a crash of the target from a network partition.
 func (f *Forwarder) witnesses(t *discoverer.Target) []netip.AddrPort {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
 	var o []netip.AddrPort
-	for _, x := range f.chooser.Witnesses(time.Now(), f.state.Registry(), t) {
+	for _, x := range f.selector.Witnesses(time.Now(), f.state.Registry(), t) {
 		o = append(o, x.Address)
 	}
 
--- a/internal/forwarder/quarantine_test.go
+++ b/internal/forwarder/quarantine_test.go
@@ -173,7 +173,7 @@
 	}
 }
 
-// Guards against a network cut that resets open connections and refuses new ones. From the data
+// Guards against a network partition that resets open connections and refuses new ones. From the data
 // centre that is cut off all other targets seem to have crashed, and the calls in flight there
 // would be quarantined.
 func TestNetworkCutIsNotCrash(t *testing.T) {
--- a/internal/forwarder/reply.go
+++ b/internal/forwarder/reply.go
@@ -29,9 +29,9 @@
 
 	switch n := time.Now(); {
 	case p.Backoff > 0:
-		f.chooser.StartBackoff(n, t, p.Backoff)
+		f.selector.StartBackoff(n, t, p.Backoff)
 	case !p.NotRun:
-		f.chooser.RecordAnswer(n, t)
+		f.selector.RecordAnswer(n, t)
 	}
 }
 
@@ -46,7 +46,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
-	return !f.chooser.InBackoff(time.Now(), t)
+	return !f.selector.InBackoff(time.Now(), t)
 }
 
 // remainingBackoff returns the time until the first backoff ends if all targets that could serve a
@@ -55,7 +55,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
-	if d, ok := f.chooser.GroupBackoff(time.Now(), r, x.group, x.query(f.settings)); ok {
+	if d, ok := f.selector.GroupBackoff(time.Now(), r, x.group, x.query(f.settings)); ok {
 		return d
 	}
 
--- a/internal/forwarder/reservation.go
+++ b/internal/forwarder/reservation.go
@@ -12,7 +12,7 @@
 )
 
 // maxCountDrift is by how many calls the load that a target reports may exceed its home node's
-// count before the home node is told. About that many calls come and go while a call begins.
+// count before the home node is notified. About that many calls come and go while a call begins.
 const maxCountDrift = 2
 
 // SlotReserver reserves slots for calls at targets. The home node of a target, the one instance
@@ -33,21 +33,21 @@
 type reservation struct {
 	verdict aggregator.Verdict
 	release reserver.Release
-	// pace is the time until the answer began, as a multiple of the latency objective; zero until
+	// latency is the time until the answer began, as a multiple of the latency objective; zero until
 	// it has begun.
-	pace float64
+	latency float64
 }
 
 // end releases the slot with the outcome of the call. Further calls do nothing.
 func (r *reservation) end(o selector.Outcome) {
 	if r.release != nil {
-		r.release(signOf(o), r.pace)
+		r.release(resultOf(o), r.latency)
 		r.release = nil
 	}
 }
 
-// signOf returns the sign that reports an outcome to the home node of a target.
-func signOf(o selector.Outcome) aggregator.Result {
+// resultOf returns the result that reports an outcome to the home node of a target.
+func resultOf(o selector.Outcome) aggregator.Result {
 	switch o {
 	case selector.Answered, selector.Shed:
 		return aggregator.Answered
@@ -113,11 +113,11 @@
 	q := x.query(f.settings)
 	q.Declined, q.Sharded = declined, x.sharded
 
-	t, ok := f.chooser.Choose(n, r, x.group, q)
+	t, ok := f.selector.Choose(n, r, x.group, q)
 	x.coldTargets, x.backingOff = t.Cold, t.BackingOff
 
 	if ok {
-		f.chooser.Start(n, t.Target)
+		f.selector.Start(n, t.Target)
 	}
 
 	return t, ok
@@ -139,7 +139,7 @@
 
 	if p := x.reservation.verdict.Latency; p > 0 {
 		f.mu.Lock()
-		f.chooser.ReportLatency(t.Target, p)
+		f.selector.ReportLatency(t.Target, p)
 		f.mu.Unlock()
 	}
 }
@@ -151,7 +151,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
-	f.chooser.Withdraw(time.Now(), t)
+	f.selector.Withdraw(time.Now(), t)
 }
 
 // decline records that the home node of a target reported it as full or excluded.
@@ -162,9 +162,9 @@
 	n := time.Now()
 
 	if v.Outcome == aggregator.Excluded {
-		f.chooser.DeclineUnhealthy(n, t)
+		f.selector.DeclineUnhealthy(n, t)
 	} else {
-		f.chooser.Decline(n, t, v.Calls)
+		f.selector.Decline(n, t, v.Calls)
 	}
 }
 
@@ -172,7 +172,7 @@
 // few calls.
 func (f *Forwarder) reportLoad(x *exchange, t *discoverer.Target, p Reply) {
 	f.mu.Lock()
-	f.chooser.ReportLoad(time.Now(), t, selector.LoadReport{Running: p.Running, Waiting: p.Waiting, Slots: p.Slots})
+	f.selector.ReportLoad(time.Now(), t, selector.LoadReport{Running: p.Running, Waiting: p.Waiting, Slots: p.Slots})
 	f.mu.Unlock()
 
 	if n := p.Running + p.Waiting; x.reservation.verdict.Outcome == aggregator.Granted && n > x.reservation.verdict.Calls+maxCountDrift {
--- a/internal/forwarder/reservation_test.go
+++ b/internal/forwarder/reservation_test.go
@@ -156,7 +156,7 @@
 }
 
 // Guards against a new home node that counts one call where the target runs eight, and would grant
-// slots without limit. It must be told the load that the target reports, unless that is close to
+// slots without limit. It must receive the load that the target reports, unless that is close to
 // its count.
 func TestLoadIsReportedToHome(t *testing.T) {
 	for name, tc := range map[string]struct {
--- a/internal/quarantiner/quarantiner.go
+++ b/internal/quarantiner/quarantiner.go
@@ -47,7 +47,7 @@
 		// A target restarts within seconds; a model or service is repaired within minutes at best,
 		// and mostly within one to two hours.
 		TrialDelays: []time.Duration{time.Minute, 10 * time.Minute, 100 * time.Minute},
-		// Longer than any time after which a caller is told to retry.
+		// Longer than any time after which a refused caller should retry.
 		Retention: 4 * time.Hour,
 		// All calls in flight at a third of 600 targets with 20 calls each.
 		MaxCalls: 4096,
@@ -132,7 +132,7 @@
 
 // Merge adds the records of another instance, and returns the calls that are newly quarantined, and
 // whether anything changed.
-func (q *Quarantiner) Merge(now time.Time, l []Record) (held []digester.Digest, changed bool) {
+func (q *Quarantiner) Merge(now time.Time, l []Record) (quarantined []digester.Digest, changed bool) {
 	for _, x := range l {
 		if now.Sub(x.LastSeen) >= q.settings.Retention || len(x.Crashes) == 0 {
 			continue
@@ -147,11 +147,11 @@
 		changed = r.merge(x) || changed
 
 		if b != Quarantined && q.verdict(r).Status == Quarantined {
-			held = append(held, x.Call)
+			quarantined = append(quarantined, x.Call)
 		}
 	}
 
-	return held, changed
+	return quarantined, changed
 }
 
 // Records returns the calls with two or more counted crashes, at most the given number, those with
--- a/internal/quarantiner/state.go
+++ b/internal/quarantiner/state.go
@@ -33,18 +33,18 @@
 }
 
 // Count returns the numbers of suspected and of quarantined calls.
-func (q *Quarantiner) Count() (suspected, held int) {
+func (q *Quarantiner) Count() (suspected, quarantined int) {
 	for _, r := range q.calls {
 		switch q.verdict(r).Status {
 		case Quarantined:
-			held++
+			quarantined++
 		case Suspected:
 			suspected++
 		case Free:
 		}
 	}
 
-	return suspected, held
+	return suspected, quarantined
 }
 
 // Quarantined returns the quarantined calls.
--- a/internal/quarantiner/verdict.go
+++ b/internal/quarantiner/verdict.go
@@ -69,7 +69,7 @@
 // Reason returns why a call is refused.
 func (v Verdict) Reason(now time.Time) string {
 	if v.Status != Quarantined {
-		return "a target crashed while running this call, and another attempt of it is in flight"
+		return "a target has ended while it ran this call, and another sending of it is out"
 	}
 
 	return fmt.Sprintf("%d targets have ended while they ran this call, the last %v ago; it is held back", v.Crashes, now.Sub(v.LastCrash).Round(time.Millisecond))
