--- a/internal/admitter/admitter.go
+++ b/internal/admitter/admitter.go
@@ -23,9 +23,9 @@
 	// maxAdjustInterval fewer suffice, so that an instance with few calls adjusts too.
 	minSample         = 5
 	maxAdjustInterval = 500 * time.Millisecond
-	// maxMissRate is the fraction of calls that may begin late. One in twenty does under
-	// normal load, since its prompt is long or is read for the first time.
-	maxMissRate = 0.15
+	// maxLateFraction is the fraction of calls that may begin late. Under normal load one
+	// in twenty begins late, since its prompt is long or not cached yet.
+	maxLateFraction = 0.15
 	// The share is multiplied by decreaseFactor if too many calls begin late, and
 	// otherwise raised by increaseStep. Of the pairs tried on the load of the tests, this
 	// one has the most calls in time: 302 of 429, against 281 with 0.85 and 0.03, and 292
@@ -33,8 +33,8 @@
 	decreaseFactor = 0.8
 	increaseStep   = 0.05
 	// minShare is the lower bound of a lane's share. Without admitted calls the admitter
-	// could not detect that calls begin in time again. A customer with fewer calls per
-	// rateWindow than this is dropped.
+	// could not detect that calls begin in time again. A customer with fewer than minShare
+	// calls per rateWindow is removed from its lane.
 	minShare = 0.1
 	// rateWindow is the time over which the call rate of a customer is averaged.
 	rateWindow = time.Second
@@ -70,13 +70,13 @@
 
 // lane is the state of a Lane.
 type lane struct {
-	share     float64
-	customers map[uint32]*customer
-	pending   tickets
-	hits      int
-	misses    int
-	adjusted  time.Time
-	decreases int
+	share        float64
+	customers    map[uint32]*customer
+	pending      tickets
+	inTime       int
+	late         int
+	lastAdjusted time.Time
+	decreases    int
 }
 
 // Admitter holds the lanes of one instance. It is not safe for concurrent use.
@@ -89,8 +89,9 @@
 	return &Admitter{lanes: make(map[Lane]*lane)}
 }
 
-// Admit decides whether a call of a customer is admitted to a lane, where its answer should
-// begin within the given time. It returns nil if the call is not admitted.
+// Admit decides whether a call of the customer with the given ID is admitted to lane l. The
+// answer should begin at most within after now. Admit returns nil if the call is not
+// admitted.
 //
 // A surge of one customer must not make the calls of the others late: the admitted share
 // is divided between the customers by max-min fairness, so that all calls of customers with
@@ -152,7 +153,7 @@
 func (a *Admitter) lane(now time.Time, l Lane) *lane {
 	x, ok := a.lanes[l]
 	if !ok {
-		x = &lane{share: 1, customers: make(map[uint32]*customer), adjusted: now}
+		x = &lane{share: 1, customers: make(map[uint32]*customer), lastAdjusted: now}
 		a.lanes[l] = x
 	}
 
@@ -164,22 +165,22 @@
 func (l *lane) adjust(now time.Time) {
 	l.expireOverdue(now)
 
-	d := now.Sub(l.adjusted)
-	n := l.hits + l.misses
+	d := now.Sub(l.lastAdjusted)
+	n := l.inTime + l.late
 
 	if d < adjustInterval || n < minSample && d < maxAdjustInterval {
 		return
 	}
 
 	switch {
-	case float64(l.misses) > maxMissRate*float64(n):
+	case float64(l.late) > maxLateFraction*float64(n):
 		l.share = max(l.share*decreaseFactor, minShare)
 		l.decreases++
 	default:
 		l.share = min(l.share+increaseStep, 1)
 	}
 
-	l.hits, l.misses, l.adjusted = 0, 0, now
+	l.inTime, l.late, l.lastAdjusted = 0, 0, now
 	l.allocate(d)
 }
 
@@ -209,9 +210,9 @@
 	switch {
 	case t.decreases != l.decreases:
 	case inTime:
-		l.hits++
+		l.inTime++
 	default:
-		l.misses++
+		l.late++
 	}
 }
 
--- a/internal/admitter/admitter_test.go
+++ b/internal/admitter/admitter_test.go
@@ -41,9 +41,9 @@
 type outcome struct{ calls, inTime, late, disconnected, refused int }
 
 // simulate runs loads against the engine, which begins the calls of the first lane before
-// those of the second, and each lane in the order of arrival. It uses an Admitter if use is
-// set, and otherwise one lane.
-func simulate(loads []load, use bool) map[uint32]*outcome {
+// those of the second, and each lane in the order of arrival. If useAdmitter is set, an
+// Admitter assigns the lanes; otherwise all calls share one lane.
+func simulate(loads []load, useAdmitter bool) map[uint32]*outcome {
 	const step = 5 * time.Millisecond
 
 	var (
@@ -87,7 +87,7 @@
 			o[c].calls++
 			j := job{customer: c, arrived: now}
 
-			if use {
+			if useAdmitter {
 				j.ticket = a.Admit(now, admitter.Lane{Group: "g"}, c, objective)
 				if j.late = j.ticket == nil; j.late {
 					if j.ticket = a.Admit(now, admitter.Lane{Group: "g", Late: true}, c, callerTimeout); j.ticket == nil {
@@ -176,9 +176,9 @@
 	i.True(ratio(with.disconnected, with.calls) < 0.1)
 }
 
-// Guards against one customer's surge, eight times its usual rate, that makes the calls of
-// the others late, all of which the engine could begin in time. Once the queue is detected,
-// the calls of the others are sent ahead.
+// Guards against a surge of one customer, eight times its usual rate, that makes the calls
+// of the others late although the engine could begin all of them in time. Once the queue is
+// detected, the calls of the others are sent ahead.
 func TestSurgeOfOneCustomer(t *testing.T) {
 	i := is.New(t)
 	c := func(x float64) map[uint32]float64 {
--- a/internal/advertiser/advertiser.go
+++ b/internal/advertiser/advertiser.go
@@ -23,8 +23,8 @@
 var ErrUpdate = errors.New("invalid update")
 
 const (
-	// minInterval is the shortest interval between two updates. The next request of a chat follows after
-	// seconds.
+	// minInterval is the shortest interval between two updates. Shorter intervals are not needed, since the
+	// next request of a chat follows only seconds later.
 	minInterval = 100 * time.Millisecond
 	// intervalPerInstance times the number of live instances is the interval in fleets where that is
 	// longer, so that an instance receives about 60 messages a second regardless of the size of the fleet.
@@ -158,21 +158,21 @@
 	return l, nil
 }
 
-// HandleRelay applies an update of an instance of another data centre and forwards it in the own one. It fails
-// with ErrUpdate if the update cannot be decoded, and does not forward it then.
+// HandleRelay applies an update of an instance of another data centre and forwards it to the other instances
+// of its own data centre. If the update cannot be decoded, it fails with ErrUpdate and forwards nothing.
 func (i *Advertiser) HandleRelay(c context.Context, from uint64, body []byte) (msgp.Marshaler, error) {
 	if _, err := i.HandleUpdate(c, from, body); err != nil {
 		return nil, err
 	}
 
-	// The connection on which it arrived may close before all are notified.
+	// The connection on which the update arrived may close before all instances are notified.
 	i.broadcaster.Local(context.WithoutCancel(c), kinds, msgp.Raw(body))
 
 	return nil, nil //nolint:nilnil // Updates have no reply.
 }
 
 // advertise sends what has changed to all other instances. An update that does not arrive is not repeated;
-// its entries are sent again when they are next used.
+// its entries are sent again the next time that they are used.
 func (i *Advertiser) advertise(c context.Context) {
 	n := i.state.Update()
 	if len(n.Placements) == 0 && len(n.Loads) == 0 {
--- a/internal/advertiser/advertiser_test.go
+++ b/internal/advertiser/advertiser_test.go
@@ -63,8 +63,8 @@
 	states    []*targetState
 	crashed   map[int]bool
 	messages  atomic.Int64
-	// crossed counts the messages sent to another data centre.
-	crossed atomic.Int64
+	// crossCentreMessages counts the messages sent to other data centres.
+	crossCentreMessages atomic.Int64
 	// unresponsive are the instances whose connections are open but which process no messages.
 	unresponsive map[int]bool
 }
@@ -73,18 +73,18 @@
 type view struct {
 	*fleet
 
-	number int
+	self int
 }
 
 func (v view) Live() []gossiper.Member { return v.members }
-func (v view) Self() gossiper.Member   { return v.members[v.number] }
-func (v view) at(a netip.AddrPort) int {
+func (v view) Self() gossiper.Member   { return v.members[v.self] }
+func (v view) indexOf(a netip.AddrPort) int {
 	return slices.IndexFunc(v.members, func(m gossiper.Member) bool { return m.Address == a })
 }
 func (v view) connect(a netip.AddrPort) error {
 	v.messages.Add(1)
 
-	if v.crashed[v.at(a)] {
+	if v.crashed[v.indexOf(a)] {
 		return errors.New("gone")
 	}
 
@@ -101,9 +101,9 @@
 		return err
 	}
 
-	n := v.at(a)
+	n := v.indexOf(a)
 	if v.members[n].DataCentre != v.Self().DataCentre {
-		v.crossed.Add(1)
+		v.crossCentreMessages.Add(1)
 	}
 
 	if v.unresponsive[n] {
@@ -229,9 +229,9 @@
 }
 
 // Guards against traffic between data centres that grows with the number of instances. Three hundred
-// instances in four data centres exchange placements: sent to each instance, the same bytes would cross to
-// a data centre 75 times, which would be most of the cost of a day. A few instances notify each other
-// directly.
+// instances in four data centres exchange placements: if each update were sent to each instance, it would be
+// transferred to every other data centre 75 times, which would cause most of the traffic cost of a day. The
+// instances of a small data centre are notified directly.
 func TestUpdateIsSentOnceToLargeDataCentre(t *testing.T) {
 	four := []string{"a", "b", "c", "d"}
 
@@ -263,7 +263,7 @@
 					is.Equal(len(k.applied.Placements) == 1, n != 0) // Exactly once each, without loops.
 				}
 
-				is.Equal(f.crossed.Load(), x.crossed)
+				is.Equal(f.crossCentreMessages.Load(), x.crossed)
 				is.Equal(f.messages.Load(), int64(x.instances-1))
 			})
 		})
--- a/internal/allocator/allocator.go
+++ b/internal/allocator/allocator.go
@@ -20,7 +20,8 @@
 	levelInterval = 100 * time.Millisecond
 )
 
-// account is the work of one customer: in flight, and refused with decay.
+// account is the state of one customer: used is its work in flight, and refused its refused work, which
+// decays.
 type account struct {
 	used      float64
 	refused   float64
@@ -44,8 +45,9 @@
 	return &Allocator{accounts: make(map[uint32]*account), level: math.Inf(1)}
 }
 
-// Admit reports whether a customer may start work on targets with a capacity, of which all customers
-// together occupy used; all in the same unit. Refused work counts as demand.
+// Admit reports whether a customer may start the given work. The targets have the given capacity, and all
+// customers together occupy used of it; work, used and capacity have the same unit. Refused work counts as
+// the customer's demand.
 func (s *Allocator) Admit(now time.Time, customer uint32, weight, work, used, capacity float64) bool {
 	a := s.account(now, customer, weight)
 	s.updateLevel(now, capacity)
--- a/internal/bencher/bencher.go
+++ b/internal/bencher/bencher.go
@@ -36,8 +36,9 @@
 	CPU time.Duration
 	// Bytes is the memory of the placement tables of the average router.
 	Bytes int
-	// Refused is the fraction of requests refused, without those of surging customers;
-	// SurgeRefused is the fraction of their requests.
+	// Refused is the fraction of requests that were refused, excluding the requests of
+	// surging customers. SurgeRefused is the refused fraction of the requests of surging
+	// customers.
 	Refused, SurgeRefused float64
 
 	// Waited is the mean time that a request waited for a slot.
@@ -45,7 +46,7 @@
 
 	waited                                         time.Duration
 	requests, refused, surgeRequests, surgeRefused int
-	reusable, reused                               [phaseCount]int
+	reusableTokens, reusedTokens                   [phaseCount]int
 }
 
 const phaseCount = 3
@@ -122,9 +123,9 @@
 	a, b := 0, 0
 
 	for i := range phaseCount {
-		r.Phases[i] = float64(r.reused[i]) / float64(max(r.reusable[i], 1))
-		a += r.reused[i]
-		b += r.reusable[i]
+		r.Phases[i] = float64(r.reusedTokens[i]) / float64(max(r.reusableTokens[i], 1))
+		a += r.reusedTokens[i]
+		b += r.reusableTokens[i]
 	}
 
 	r.Reuse = float64(a) / float64(max(b, 1))
@@ -140,7 +141,7 @@
 	t := (w.size.Duration - w.size.WarmUp).Seconds()
 
 	for _, x := range w.routers {
-		b := float64(x.bytes) / t
+		b := float64(x.controlBytes) / t
 		r.ControlMean += b / float64(len(w.routers))
 		r.ControlMax = max(r.ControlMax, b)
 	}
--- a/internal/bencher/condition.go
+++ b/internal/bencher/condition.go
@@ -23,10 +23,10 @@
 // replaceTarget takes the next target down with an empty cache and brings the previous
 // one back. Requests that run there complete as scheduled.
 func (w *world) replaceTarget() {
-	o := w.targets[(w.losses*7)%len(w.targets)] //nolint:mnd // Spreads the faults over the targets.
+	o := w.targets[(w.replacements*7)%len(w.targets)] //nolint:mnd // Spreads the faults over the targets.
 	o.down = false
-	w.losses++
-	n := w.targets[(w.losses*7)%len(w.targets)] //nolint:mnd // Spreads the faults over the targets.
+	w.replacements++
+	n := w.targets[(w.replacements*7)%len(w.targets)] //nolint:mnd // Spreads the faults over the targets.
 	n.down = true
 	n.clearCache()
 }
--- a/internal/bencher/exchange.go
+++ b/internal/bencher/exchange.go
@@ -14,12 +14,12 @@
 	clear(h.homeByCell)
 
 	if w.reconnected || w.condition == Partition {
-		clear(h.assigned)
+		clear(h.homesBySide)
 	}
 
-	// The home among the other data centres remained the home during the partition and
-	// now is the home of the isolated routers again. All routers report their requests
-	// in flight to it.
+	// During the partition the other data centres retained their home, which now is the
+	// home of the formerly isolated routers again. All routers report their requests in
+	// flight to it.
 	if w.reconnected {
 		clear(h.lastHomes)
 	}
@@ -59,7 +59,7 @@
 	for _, c := range h.matcher.Cells() {
 		for i, r := range w.routers {
 			k := cellUse{c.ID, i}
-			if !h.used[k] {
+			if !h.usedCells[k] {
 				continue
 			}
 
--- a/internal/bencher/home.go
+++ b/internal/bencher/home.go
@@ -9,9 +9,9 @@
 	"github.com/auburntray/auburntray/internal/parser"
 )
 
-// granterKey identifies a cell's Granter at a home. During a network partition, each
-// side has its own. As a key of homeByCell and lastHomes, home is the side instead: 1
-// for the isolated data centre and 0 for the others.
+// granterKey identifies a cell's Granter at a home. During a network partition, each side
+// has its own. In the keys of homeByCell and lastHomes, the field home holds the side of
+// the partition instead: 1 for the isolated data centre and 0 for the others.
 type granterKey struct {
 	cell uint32
 	home uint64
@@ -61,20 +61,21 @@
 	return h.granters[granterKey{cell: c.ID, home: w.routers[j].id}]
 }
 
-// firstHome returns the index of the first router in a cell's order of homes, except
-// the router without, on r's side of a network partition. It returns -1 if there is none.
-func (h *homePolicy) firstHome(w *world, r *router, c *matcher.Cell, without int) int {
+// firstHome returns the index of the first router in a cell's order of homes, except the
+// router with the index excluded, on r's side of a network partition. It returns -1 if
+// there is none.
+func (h *homePolicy) firstHome(w *world, r *router, c *matcher.Cell, excluded int) int {
 	s := w.partitioned >= 0 && r.centre == w.partitioned
 
-	a, ok := h.assigned[s]
+	a, ok := h.homesBySide[s]
 	if !ok {
-		a = h.assign(w, r)
-		h.assigned[s] = a
+		a = h.assignHomes(w, r)
+		h.homesBySide[s] = a
 	}
 
 	for _, m := range a[uint64(c.ID)] {
 		for i, x := range w.routers {
-			if x.id == m.ID && i != without {
+			if x.id == m.ID && i != excluded {
 				return i
 			}
 		}
@@ -83,8 +84,8 @@
 	return -1
 }
 
-// assign computes the homes of all cells among the routers that r can reach.
-func (h *homePolicy) assign(w *world, r *router) map[uint64][]gossiper.Member {
+// assignHomes computes the homes of all cells among the routers that r can reach.
+func (h *homePolicy) assignHomes(w *world, r *router) map[uint64][]gossiper.Member {
 	var (
 		l []gossiper.Member
 		k []gossiper.Key
@@ -146,5 +147,5 @@
 // resetHomes makes all homes be computed again.
 func (h *homePolicy) resetHomes() {
 	clear(h.homeByCell)
-	clear(h.assigned)
+	clear(h.homesBySide)
 }
--- a/internal/bencher/home_policy.go
+++ b/internal/bencher/home_policy.go
@@ -36,11 +36,11 @@
 	homeByCell map[granterKey]int
 	lastHomes  map[granterKey]uint64
 	handOvers  []handOver
-	// used holds the cells from which routers have requested a slot.
-	used map[cellUse]bool
-	// assigned caches the homes on the two sides of a network partition until the
+	// usedCells holds the cells from which routers have requested a slot.
+	usedCells map[cellUse]bool
+	// homesBySide caches the homes on the two sides of a network partition until the
 	// routers change.
-	assigned map[bool]map[uint64][]gossiper.Member
+	homesBySide map[bool]map[uint64][]gossiper.Member
 }
 
 // cellUse is a cell from which a router has requested a slot.
@@ -52,7 +52,7 @@
 func newHomePolicy(w *world, tokens bool) *homePolicy {
 	h := &homePolicy{
 		placementTokens: tokens, targetByID: make(map[uint32]*target),
-		granters: make(map[granterKey]*granter.Granter), homeByCell: make(map[granterKey]int), lastHomes: make(map[granterKey]uint64), used: make(map[cellUse]bool), assigned: make(map[bool]map[uint64][]gossiper.Member),
+		granters: make(map[granterKey]*granter.Granter), homeByCell: make(map[granterKey]int), lastHomes: make(map[granterKey]uint64), usedCells: make(map[cellUse]bool), homesBySide: make(map[bool]map[uint64][]gossiper.Member),
 	}
 	d := &parser.Document{
 		Targets: make(map[string]parser.Target), Customers: map[string]parser.Customer{}, Rules: make(map[string]parser.Rule),
@@ -140,11 +140,11 @@
 	h.seq++
 	a := wire.SlotRequest{
 		Seq: h.seq, Cell: c.ID, Rule: h.rules[q.chat.customer.model].ID, Customer: q.chat.customer.id,
-		Chat: q.chat.key, Prompt: uint32(q.prompt), Hint: hint, WaitedMs: uint32(q.waited.Milliseconds()), Forwarded: forwarded, //nolint:gosec // Not negative.
+		Chat: q.chat.key, Prompt: uint32(q.promptTokens), Hint: hint, WaitedMs: uint32(q.waited.Milliseconds()), Forwarded: forwarded, //nolint:gosec // Not negative.
 	}
 	v := h.granter(c, w.routers[i].id).Reserve(epoch.Add(w.now), granter.Request{
 		ID: granter.ID{Entry: r.id, Seq: a.Seq}, Chat: a.Chat, Customer: a.Customer, Weight: 1,
-		Prompt: q.prompt, Hint: hint, Waited: q.waited, Forwarded: forwarded,
+		Prompt: q.promptTokens, Hint: hint, Waited: q.waited, Forwarded: forwarded,
 		Allowed: func(id uint32) bool { return w.reachable(r, h.targetByID[id]) },
 	})
 
@@ -154,7 +154,7 @@
 	})
 
 	q.seq, q.entry, q.cell = a.Seq, r.id, c.ID
-	h.used[cellUse{c.ID, q.router}] = true
+	h.usedCells[cellUse{c.ID, q.router}] = true
 
 	if v.ReportDue {
 		t := h.targetByID[v.Target]
@@ -192,8 +192,8 @@
 	const longNumber = 16
 
 	n := messenger.Size(k, id<<longNumber, m)
-	w.routers[from].bytes += n
-	w.routers[to].bytes += n
+	w.routers[from].controlBytes += n
+	w.routers[to].controlBytes += n
 }
 
 // replaceRouter replaces a router by a new process with empty state.
--- a/internal/bencher/sample.go
+++ b/internal/bencher/sample.go
@@ -12,13 +12,13 @@
 	}
 }
 
-func (w *world) sampleSide(p []*target, in func(*target) bool) {
+func (w *world) sampleSide(p []*target, included func(*target) bool) {
 	var s, m, u, v float64
 
 	n, r := 0, 0
 
 	for _, t := range p {
-		if t.down || !in(t) {
+		if t.down || !included(t) {
 			continue
 		}
 
--- a/internal/bencher/target.go
+++ b/internal/bencher/target.go
@@ -75,19 +75,19 @@
 func (t *target) start(q *request) (time.Duration, int) {
 	h := t.lookup(q.chat.key)
 	if h == 0 {
-		h = min(t.lookup(q.chat.customer.prefix), q.chat.customer.sharedTokens)
+		h = min(t.lookup(q.chat.customer.prefixKey), q.chat.customer.sharedTokens)
 	}
 
-	h = min(h, q.prompt)
-	t.store(q.chat.customer.prefix, q.chat.customer.sharedTokens)
-	t.store(q.chat.key, q.prompt+q.output)
+	h = min(h, q.promptTokens)
+	t.store(q.chat.customer.prefixKey, q.chat.customer.sharedTokens)
+	t.store(q.chat.key, q.promptTokens+q.outputTokens)
 
-	u := q.prompt - h
-	q.work = float64(u)*prefillCost + float64(q.output)
+	u := q.promptTokens - h
+	q.work = float64(u)*prefillCost + float64(q.outputTokens)
 	t.running++
 	t.work += q.work
 
-	d := time.Duration(u)*prefillTime + time.Duration(q.output)*tokenTime
+	d := time.Duration(u)*prefillTime + time.Duration(q.outputTokens)*tokenTime
 	// A request that starts over capacity takes longer in proportion to the excess,
 	// since it waits for others.
 	if t.running > t.capacity {
--- a/internal/bencher/traffic.go
+++ b/internal/bencher/traffic.go
@@ -12,17 +12,17 @@
 type customer struct {
 	id           uint32
 	name         string
-	prefix       uint64
+	prefixKey    uint64
 	sharedTokens int
 	model        int
 }
 
 // chat is a simulated chat, whose prompt grows with each turn.
 type chat struct {
-	key      uint64
-	customer *customer
-	region   int
-	tokens   int
+	key          uint64
+	customer     *customer
+	region       int
+	promptTokens int
 	// placement is the ID of the target that served the chat last, which callers send
 	// back in a token; zero means none.
 	placement uint32
@@ -30,27 +30,27 @@
 
 // request is a turn of a chat.
 type request struct {
-	chat   *chat
-	router int
-	prompt int
-	// output is the actual length of the answer in tokens.
-	output   int
-	reusable int
-	work     float64
-	target   *target
-	waited   time.Duration
-	surge    bool
+	chat         *chat
+	router       int
+	promptTokens int
+	// outputTokens is the actual length of the answer.
+	outputTokens   int
+	reusableTokens int
+	work           float64
+	target         *target
+	waited         time.Duration
+	surge          bool
 	// seq, entry and cell identify the grant of homePolicy.
 	seq   uint32
 	entry uint64
 	cell  uint32
 }
 
-// class is a kind of answer with its frequency and its limit of tokens: a full review,
-// a note or a confirmation.
+// class is a kind of answer: its fraction of all answers and its maximum number of tokens.
+// The classes are a full review, a note and a confirmation.
 type class struct {
-	fraction float64
-	limit    int
+	fraction  float64
+	maxTokens int
 }
 
 var classes = []class{{0.15, 1200}, {0.45, 320}, {0.4, 64}} //nolint:gochecknoglobals // A table.
@@ -85,7 +85,7 @@
 	for i := range s.Customers {
 		n := customerName(i)
 		t.customers = append(t.customers, &customer{
-			id: hasher.Name(n), name: n, prefix: hasher.Key("prefix", n),
+			id: hasher.Name(n), name: n, prefixKey: hasher.Key("prefix", n),
 			sharedTokens: 500 + r.IntN(maxSharedTokens), model: i % s.Models,
 		})
 		w += 1 / math.Pow(float64(i/s.Models+1), popularityExponent) / float64(i%s.Models+1)
@@ -141,7 +141,7 @@
 	t.chatCount++
 	h := &chat{
 		key: hasher.Key("chat") ^ t.chatCount*0x9e3779b97f4a7c15, customer: c,
-		region: t.random.IntN(t.size.Regions), tokens: c.sharedTokens,
+		region: t.random.IntN(t.size.Regions), promptTokens: c.sharedTokens,
 	}
 	t.chats = append(t.chats, h)
 
@@ -159,15 +159,15 @@
 	}
 
 	// Answers are heavy-tailed below their limit.
-	o := int(float64(c.limit) * min(1, math.Exp(0.6*t.random.NormFloat64()-0.6))) //nolint:mnd // About half the limit.
+	o := int(float64(c.maxTokens) * min(1, math.Exp(0.6*t.random.NormFloat64()-0.6))) //nolint:mnd // About half the limit.
 	q := &request{
-		chat: h, reusable: h.tokens, prompt: h.tokens + 20 + t.random.IntN(maxTurnTokens),
-		output: max(o, 1),
+		chat: h, reusableTokens: h.promptTokens, promptTokens: h.promptTokens + 20 + t.random.IntN(maxTurnTokens),
+		outputTokens: max(o, 1),
 	}
 
-	h.tokens = q.prompt + q.output
-	if h.tokens > maxChatTokens {
-		h.tokens = h.customer.sharedTokens
+	h.promptTokens = q.promptTokens + q.outputTokens
+	if h.promptTokens > maxChatTokens {
+		h.promptTokens = h.customer.sharedTokens
 	}
 
 	return q
--- a/internal/bencher/world.go
+++ b/internal/bencher/world.go
@@ -45,8 +45,8 @@
 	id     uint64
 	region int
 	centre int
-	// bytes counts the control bytes that it sent and received.
-	bytes int
+	// controlBytes counts the control bytes that it sent and received.
+	controlBytes int
 }
 
 // world is the state of a simulation: the fleet, its targets and its callers.
@@ -63,14 +63,14 @@
 	events  eventQueue
 	// partitioned is the data centre isolated by a network partition, or -1.
 	// reconnected is true only in the tick at which the partition ends.
-	partitioned int
-	reconnected bool
-	policy      policy
-	result      *Result
-	cpu         time.Duration
-	losses      int
-	skew        *hdrhistogram.Histogram
-	work        *hdrhistogram.Histogram
+	partitioned  int
+	reconnected  bool
+	policy       policy
+	result       *Result
+	cpu          time.Duration
+	replacements int
+	skew         *hdrhistogram.Histogram
+	work         *hdrhistogram.Histogram
 	// surgeRatio is the ratio of a surge's additional rate to the usual rate.
 	surgeRatio float64
 }
@@ -212,8 +212,8 @@
 
 	if w.measuring() {
 		w.result.waited += q.waited
-		w.result.reusable[w.phase()] += q.reusable
-		w.result.reused[w.phase()] += min(h, q.reusable)
+		w.result.reusableTokens[w.phase()] += q.reusableTokens
+		w.result.reusedTokens[w.phase()] += min(h, q.reusableTokens)
 	}
 
 	heap.Push(&w.events, event{at: w.now + e, request: q})
--- a/internal/broadcaster/broadcaster.go
+++ b/internal/broadcaster/broadcaster.go
@@ -26,8 +26,8 @@
 	Send(c context.Context, a netip.AddrPort, k wire.Kind, m msgp.Marshaler) error
 }
 
-// Broadcaster sends messages in the background and does not report failures: what it carries is sent again
-// later, or detected otherwise. It is safe for concurrent use.
+// Broadcaster sends messages in the background and does not report failures: the information in its messages
+// is sent again later, or the receivers detect it by other means. It is safe for concurrent use.
 type Broadcaster struct {
 	messenger Messenger
 	members   Members
--- a/internal/broadcaster/route.go
+++ b/internal/broadcaster/route.go
@@ -10,11 +10,12 @@
 )
 
 const (
-	// minRelayed is the number of live instances from which another data centre is notified through one of
-	// them. In smaller data centres a relay saves few bytes, and each instance is notified directly.
+	// minRelayed is the minimum number of live instances in another data centre for which messages to that
+	// data centre are relayed by one of them. For smaller data centres a relay would save few bytes, and each
+	// instance is notified directly.
 	minRelayed = 4
 	// relayAttempts is how many instances of a data centre are tried in sequence until one accepts the
-	// message. Of three that were live a moment ago, one still is.
+	// message. Of three instances that were live a moment ago, at least one is expected to be live still.
 	relayAttempts = 3
 )
 
@@ -35,12 +36,12 @@
 // routes returns the routes by which a message reaches all other instances: directly to those of the own
 // data centre and of small ones, and through one instance of each other data centre.
 //
-// Sent to each instance, the same bytes would cross to a data centre as often as it has instances: with
-// three hundred instances in four data centres, this would be the largest part of the traffic cost. The
-// relay is chosen at random for each message. This spreads the work, and when a relay dies or is cut off
-// with its connections open, only the messages that it had not passed on are lost, and the next message
-// takes another route. With a fixed relay, all messages would be lost until its failure is detected. Relays
-// send with the kind Direct, which no instance passes on, so that messages cannot loop.
+// If a message were sent to each instance, it would be transferred to a data centre once for each instance
+// there: with three hundred instances in four data centres, this would be the largest part of the traffic
+// cost. The relay is chosen at random for each message. This spreads the work, and when a relay dies or is
+// cut off with its connections open, only the messages that it had not passed on are lost, and the next
+// message takes another route. With a fixed relay, all messages would be lost until its failure is detected.
+// Relays send with the kind Direct, which no instance passes on, so that messages cannot loop.
 func routes(k Kinds, l []gossiper.Member, self gossiper.Member) []route {
 	far := make(map[string][]gossiper.Member)
 
--- a/internal/budgeter/budgeter.go
+++ b/internal/budgeter/budgeter.go
@@ -19,8 +19,8 @@
 	// for instances that fail after having counted calls, and for the resolution of the
 	// sliding window.
 	usableFraction = 0.7
-	// buckets is the number of buckets of a window.
-	buckets = 10
+	// bucketCount is the number of buckets of a window.
+	bucketCount = 10
 )
 
 type bucket struct {
@@ -31,7 +31,7 @@
 
 // window holds the buckets of one group, by index modulo their number.
 type window struct {
-	buckets [buckets]bucket
+	buckets [bucketCount]bucket
 }
 
 // Budgeter counts calls and repeats by group. It is not safe for concurrent use.
@@ -87,7 +87,7 @@
 }
 
 func (b *Budgeter) index(now time.Time) int64 {
-	return int64(now.Sub(b.start) / max(b.settings.Window/buckets, 1))
+	return int64(now.Sub(b.start) / max(b.settings.Window/bucketCount, 1))
 }
 
 // currentBucket returns the bucket of a group for the present time.
@@ -99,7 +99,7 @@
 	}
 
 	i := b.index(now)
-	x := &a.buckets[i%buckets]
+	x := &a.buckets[i%bucketCount]
 
 	if x.index != i {
 		*x = bucket{index: i}
@@ -118,7 +118,7 @@
 	i := b.index(now)
 
 	for _, x := range a.buckets {
-		if x.index > i-buckets {
+		if x.index > i-bucketCount {
 			calls += x.calls
 			repeats += x.repeats
 		}
--- a/internal/detector/detector.go
+++ b/internal/detector/detector.go
@@ -14,9 +14,9 @@
 	// tolerance is how late a tick may come while the process runs: an exhausted quota of processor time
 	// delays it by a tenth of a second.
 	tolerance = 150 * time.Millisecond
-	// recovery is how long after a stall a process still lags behind, while it works off what arrived in the
+	// recoveryTime is how long after a stall a process still lags behind, while it works off what arrived in the
 	// meantime.
-	recovery = 300 * time.Millisecond
+	recoveryTime = 300 * time.Millisecond
 )
 
 // Detector compares the times of ticks with the times when they were due. It is safe for concurrent use.
@@ -51,9 +51,9 @@
 // Stalled reports whether the process was stalled, or still lagged behind after a stall, at any time
 // between since and now.
 //
-// While a process is paused, the network goes on. The time-outs that the process had set for others expire,
-// and on resuming it would consider every target unresponsive at once and send its calls to the few targets
-// that are left.
+// While a process is paused, the network goes on. The time-outs with which the process waits for other
+// processes expire, and on resuming the process would consider every target unresponsive at once and send its
+// calls to the few targets that are left.
 func (d *Detector) Stalled(now, since time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -63,7 +63,7 @@
 		return true
 	}
 
-	return d.stallEnd.Add(recovery).After(since)
+	return d.stallEnd.Add(recoveryTime).After(since)
 }
 
 // TimedOut reports whether an error is a time-out. After a stall, which Stalled reports, a time-out proves
--- a/internal/drainer/drainer.go
+++ b/internal/drainer/drainer.go
@@ -106,10 +106,10 @@
 
 // Advance enters the next phase when it is due, and returns the phase.
 //
-// Callers cannot know when the listener closes: the connection of a request in flight is
-// then reset without an answer. A shutdown therefore continues to answer requests until none
-// has arrived for the quiet period, which follows soon after the load balancer has detected
-// that the router is not ready.
+// Callers cannot know when the listener closes: if it closes while a request is on its way,
+// the connection is reset without an answer. A shutdown therefore continues to answer
+// requests until none has arrived for the quiet period, which follows soon after the load
+// balancer has detected that the router is not ready.
 func (d *Drainer) Advance(now time.Time) Phase {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/driver/call.go
+++ b/internal/driver/call.go
@@ -16,8 +16,8 @@
 	"github.com/auburntray/auburntray/internal/sleeper"
 )
 
-// interruptedRetryDelay is the delay before a keyed call is retried whose connection
-// was interrupted.
+// interruptedRetryDelay is the delay before the retry of a call with an idempotency key
+// whose connection was interrupted.
 const interruptedRetryDelay = 200 * time.Millisecond
 
 // errInterrupted means that a connection or an answer ended prematurely.
--- a/internal/ejector/ejector.go
+++ b/internal/ejector/ejector.go
@@ -23,7 +23,8 @@
 }
 
 type state struct {
-	// failures is the number of consecutive failures, and ejections determines the next duration.
+	// failures is the number of consecutive failures. The duration of the next ejection depends on ejections,
+	// the number of ejections less the successes since.
 	failures     int
 	ejections    int
 	ejectedUntil time.Time
@@ -100,7 +101,7 @@
 }
 
 // StartProbe records that a request is sent to a target. If the target is half-open, the request is the probe
-// call, and the target is excluded until its result or for probeTimeout.
+// call, and the target is excluded until the result of the probe call is recorded, at most for probeTimeout.
 func (e *Ejector[K]) StartProbe(now time.Time, target K) {
 	s, ok := e.states[target]
 	if ok && !s.ejectedUntil.IsZero() {
--- a/internal/ejector/ejector_test.go
+++ b/internal/ejector/ejector_test.go
@@ -66,7 +66,7 @@
 
 // Guards against a partitioned router, for which all targets fail, that keeps refusing calls after the
 // network has recovered.
-func TestPanic(t *testing.T) {
+func TestPanicMode(t *testing.T) {
 	for name, tc := range map[string]struct {
 		failing int
 		want    bool
--- a/internal/evacuator/evacuator.go
+++ b/internal/evacuator/evacuator.go
@@ -71,7 +71,8 @@
 	return now.Sub(b), true
 }
 
-// endedRetention is how long the end of an evacuation is remembered, longer than targets are cold.
+// endedRetention is how long the end of an evacuation is remembered. It exceeds the time for which targets
+// are cold after a start.
 const endedRetention = time.Hour
 
 // prunedCopy returns a copy of the state without expired ends. The names of data centres come from
--- a/internal/explainer/explainer.go
+++ b/internal/explainer/explainer.go
@@ -16,7 +16,7 @@
 // ErrLog marks a log that can't be read, and an output that can't be written.
 var ErrLog = errors.New("reading or writing log lines failed")
 
-// The keys that are read from each line.
+// The keys of the log fields that are read from each line.
 const (
 	fieldTime = "time"
 	// fieldMonotonic is the time by the monotonic clock. Lines of older versions have none.
@@ -24,7 +24,7 @@
 	fieldEvent     = "event"
 	fieldID        = "id"
 	fieldLevel     = "level"
-	// maxLineBytes is the length from which on a line makes Read fail.
+	// maxLineBytes is the length of the shortest line on which Read fails.
 	maxLineBytes = 1 << 20
 )
 
--- a/internal/extender/extender.go
+++ b/internal/extender/extender.go
@@ -26,11 +26,11 @@
 
 // Settings are the time-outs of a context.
 type Settings struct {
-	// Initial is the time-out while nothing arrives; zero sets no bound.
+	// Initial is the time-out while nothing arrives; zero means that the context has no deadline of its own.
 	Initial time.Duration
-	// Idle is the time from the last arrival to the deadline, if that is later than the first deadline.
+	// Idle is the time-out after each arrival. An arrival never moves the deadline to an earlier time.
 	Idle time.Duration
-	// Max bounds the total duration when a first time-out is set.
+	// Max bounds the total duration; it has no effect if Initial is zero.
 	Max time.Duration
 	// OnExtend is called on each arrival; it may be nil.
 	OnExtend func()
@@ -53,7 +53,7 @@
 }
 
 // New returns a context whose deadline Extend moves, and a function that releases it. Once the deadline has
-// passed, its cause is context.DeadlineExceeded.
+// passed, the cause of the context is context.DeadlineExceeded.
 func New(c context.Context, s Settings) (context.Context, context.CancelFunc) {
 	x, end := context.WithCancelCause(c)
 	o, _ := c.Value(key{}).(*extender)
--- a/internal/extender/extender_test.go
+++ b/internal/extender/extender_test.go
@@ -18,17 +18,17 @@
 
 	for name, x := range map[string]struct {
 		settings extender.Settings
-		// every is the interval between arrivals, times their number.
-		every time.Duration
-		times int
-		ends  time.Duration
+		// interval is the time between two arrivals, and arrivals is their number.
+		interval time.Duration
+		arrivals int
+		ends     time.Duration
 	}{
-		"nothing arrives":         {s, 0, 0, time.Second},
-		"arrives in initial time": {s, 100 * time.Millisecond, 5, time.Second},
-		"arrives after it":        {s, 200 * time.Millisecond, 7, 1700 * time.Millisecond},
-		"idle for too long":       {s, 400 * time.Millisecond, 7, 1100 * time.Millisecond},
-		"reaches the maximum":     {s, 200 * time.Millisecond, 100, 3 * time.Second},
-		"initial time is longer":  {extender.Settings{Initial: time.Second, Idle: 0, Max: 3 * time.Second}, 200 * time.Millisecond, 100, time.Second},
+		"nothing arrives":            {s, 0, 0, time.Second},
+		"arrives in initial time":    {s, 100 * time.Millisecond, 5, time.Second},
+		"arrives after initial time": {s, 200 * time.Millisecond, 7, 1700 * time.Millisecond},
+		"idle for too long":          {s, 400 * time.Millisecond, 7, 1100 * time.Millisecond},
+		"reaches the maximum":        {s, 200 * time.Millisecond, 100, 3 * time.Second},
+		"initial time is longer":     {extender.Settings{Initial: time.Second, Idle: 0, Max: 3 * time.Second}, 200 * time.Millisecond, 100, time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -39,8 +39,8 @@
 				defer stop()
 
 				go func() {
-					for range x.times {
-						sleeper.Sleep(c, x.every)
+					for range x.arrivals {
+						sleeper.Sleep(c, x.interval)
 						extender.Extend(c)
 					}
 				}()
--- a/internal/hasher/hasher.go
+++ b/internal/hasher/hasher.go
@@ -19,8 +19,8 @@
 	mantissaBits = 53
 )
 
-// Name returns the 32-bit hash of a name. It is safe for concurrent use. Collisions within a document are
-// excluded by the parser, which refuses documents where two names of a kind have the same hash.
+// Name returns the 32-bit hash of a name. It is safe for concurrent use. Collisions within a configuration
+// document are excluded by the parser, which refuses documents where two names of a kind have the same hash.
 func Name(name string) uint32 {
 	return uint32(xxhash.Sum64String(name)) //nolint:gosec // The low 32 bits are the hash.
 }
--- a/internal/hasher/hasher_test.go
+++ b/internal/hasher/hasher_test.go
@@ -12,13 +12,13 @@
 // other targets their prompt caches.
 func TestRankMovesOnlyKeysOfRemovedCandidate(t *testing.T) {
 	i := is.New(t)
-	one := func(int) float64 { return 1 }
-	all := func(n int) uint64 { return uint64(n) }
+	weight := func(int) float64 { return 1 }
+	id := func(n int) uint64 { return uint64(n) }
 	moved := 0
 
 	for k := range uint64(2000) {
-		a := hasher.Rank(k, 10, all, one)
-		b := hasher.Rank(k, 9, all, one)
+		a := hasher.Rank(k, 10, id, weight)
+		b := hasher.Rank(k, 9, id, weight)
 
 		if a[0] == 9 {
 			moved++
--- a/internal/meter/meter.go
+++ b/internal/meter/meter.go
@@ -17,7 +17,7 @@
 const (
 	// Served means that the caller received the complete answer of a target.
 	Served Outcome = "served"
-	// Refused means that the gateway answered itself, with a refusal.
+	// Refused means that the gateway refused the call and did not relay an answer of a target.
 	Refused Outcome = "refused"
 	// Broken means that the answer of a target broke off after its beginning.
 	Broken Outcome = "broken"
--- a/internal/prober/prober.go
+++ b/internal/prober/prober.go
@@ -27,13 +27,14 @@
 }
 
 // Crashed reports whether a target's process has crashed: its address refuses connections, and at least one
-// of the others, targets as close as it, accepts them.
+// of the addresses in others accepts them. These are addresses of targets that should be reachable whenever
+// the given target's data centre is.
 //
 // A broken connection alone is not enough. It may have been reset by the target or on the way while the
-// target goes on running; if that counted as a crash, calls whose answers get lost would be quarantined.
-// And some network partitions reset and refuse connections: seen from a data centre that is cut off, all
-// targets elsewhere would have crashed under the calls in flight. Without others, the refusal of the target
-// alone decides. Concurrent requests for one address share one dial.
+// target goes on running; if that counted as a crash, calls whose answers get lost would be quarantined. And
+// some network partitions reset and refuse connections: seen from a data centre that is cut off, all targets
+// elsewhere would have crashed under the calls in flight. If others is empty, the refusal of the target alone
+// decides. Concurrent requests for one address share one dial.
 func (p *Prober) Crashed(c context.Context, a netip.AddrPort, others []netip.AddrPort) bool {
 	return p.connect(c, a) == refused && (len(others) == 0 || p.Reachable(c, others))
 }
--- a/internal/reaper/race_test.go
+++ b/internal/reaper/race_test.go
@@ -45,7 +45,7 @@
 				i.Equal(call(n), http.StatusOK)
 			}
 
-			s.wait(t, x.calls)
+			s.waitIdle(t, x.calls)
 
 			if x.read {
 				s.holdRead.Store(true)
@@ -59,7 +59,7 @@
 			if x.read {
 				s.resume <- struct{}{}
 
-				i.Equal(answer(n), http.StatusOK)
+				i.Equal(readStatus(n), http.StatusOK)
 				i.Equal(ran.Load(), int64(x.calls+1))
 
 				// The connection remains usable.
@@ -78,8 +78,9 @@
 	}
 }
 
-// Guards against the same failure with sweeps at arbitrary moments: a call must be answered or not run. When
-// sweeps closed connections, a few calls in a thousand ran without an answer.
+// Guards against a call that runs while its connection is closed without an answer, here with sweeps at
+// arbitrary moments: a call must be answered or not run. When sweeps closed connections, a few calls in a
+// thousand ran without an answer.
 func TestSweepsDuringCalls(t *testing.T) {
 	i := is.New(t)
 
@@ -115,10 +116,10 @@
 		return 0
 	}
 
-	return answer(n)
+	return readStatus(n)
 }
 
-func answer(n net.Conn) int {
+func readStatus(n net.Conn) int {
 	a, err := http.ReadResponse(bufio.NewReader(n), nil)
 	if err != nil {
 		return 0
@@ -190,8 +191,8 @@
 	return s
 }
 
-// wait waits until a connection is idle after the given number of calls.
-func (s *server) wait(t *testing.T, calls int) {
+// waitIdle waits until a connection is idle after the given number of calls.
+func (s *server) waitIdle(t *testing.T, calls int) {
 	t.Helper()
 
 	for range calls + 1 {
--- a/internal/relayer/relayer.go
+++ b/internal/relayer/relayer.go
@@ -40,9 +40,10 @@
 	return &Relayer{settings: s}
 }
 
-// ServeOrRedirect reports whether a requester is to be served here. The answer has the given length in bytes and
-// reaches up to the offset next. If the result is false, the address is that of an instance that has the
-// answer. With must set the requester is always served: other instances wait for what it receives.
+// ServeOrRedirect reports whether the requester at address to is to be served here. The answer has the given
+// length in bytes and reaches up to the offset next. If the result is false, the returned address is that of
+// an instance that has the answer. If must is set, the requester is always served, since other instances wait
+// for the data that it receives.
 //
 // A requester with an invalid address is never a destination of redirects.
 func (r *Relayer) ServeOrRedirect(now time.Time, next int64, bytes int, to netip.AddrPort, must bool) (netip.AddrPort, bool) {
--- a/internal/reloader/reloader_test.go
+++ b/internal/reloader/reloader_test.go
@@ -19,15 +19,15 @@
 
 // recorder records the contents that were applied.
 type recorder struct {
-	mu   sync.Mutex
-	list []string
+	mu      sync.Mutex
+	applied []string
 }
 
 func (r *recorder) apply(b []byte) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
-	r.list = append(r.list, string(b))
+	r.applied = append(r.applied, string(b))
 
 	if string(b) == "bad" {
 		return errors.New("invalid settings")
@@ -36,18 +36,18 @@
 	return nil
 }
 
-func (r *recorder) all() []string {
+func (r *recorder) contents() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
-	return append([]string(nil), r.list...)
+	return append([]string(nil), r.applied...)
 }
 
-func (r *recorder) has(s string) bool {
+func (r *recorder) lastIs(s string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
-	return len(r.list) > 0 && r.list[len(r.list)-1] == s
+	return len(r.applied) > 0 && r.applied[len(r.applied)-1] == s
 }
 
 func start(t *testing.T) (string, *recorder) {
@@ -94,7 +94,7 @@
 	for _, s := range []string{"two", "bad", "three"} {
 		write(t, p, s)
 		is.New(t).NoErr(self.Signal(syscall.SIGHUP))
-		waiter.Until(t, "the content", func() bool { return a.has(s) })
+		waiter.Until(t, "the content", func() bool { return a.lastIs(s) })
 	}
 }
 
@@ -103,7 +103,7 @@
 	p, a := start(t)
 
 	write(t, p, "two")
-	waiter.Until(t, "the content", func() bool { return a.has("two") })
+	waiter.Until(t, "the content", func() bool { return a.lastIs("two") })
 }
 
 // A signal without a change applies nothing.
@@ -114,7 +114,7 @@
 	is.New(t).NoErr(self.Signal(syscall.SIGHUP))
 
 	time.Sleep(50 * time.Millisecond)
-	is.New(t).True(!a.has("one"))
+	is.New(t).True(!a.lastIs("one"))
 }
 
 // The file is missing when a signal and the timer check it. The settings in force remain, and the file is
@@ -128,11 +128,11 @@
 	i.NoErr(err)
 	i.NoErr(self.Signal(syscall.SIGHUP))
 	time.Sleep(50 * time.Millisecond)
-	i.Equal(len(a.all()), 0)
+	i.Equal(len(a.contents()), 0)
 
 	write(t, p, "two")
-	waiter.Until(t, "the content", func() bool { return a.has("two") })
-	i.Equal(a.all(), []string{"two"})
+	waiter.Until(t, "the content", func() bool { return a.lastIs("two") })
+	i.Equal(a.contents(), []string{"two"})
 }
 
 // Guards against a change during the start that is never applied: the process had read the old settings and
@@ -149,5 +149,5 @@
 
 	go r.Run(c)
 
-	waiter.Until(t, "the content", func() bool { return a.has("new") })
+	waiter.Until(t, "the content", func() bool { return a.lastIs("new") })
 }
--- a/internal/searcher/replay_test.go
+++ b/internal/searcher/replay_test.go
@@ -88,15 +88,15 @@
 	heap.Init(&r.events)
 }
 
-// search returns the service that a call is sent to, and false if the call is refused. Without
-// a bound on queues a call searches like one with a prompt.
+// search returns the service that a call is sent to, and false if the call is refused. Without a bound on
+// queues a call searches in the same way as a call with a prompt.
 func (r *replay) search(now time.Time, c call) (int, bool) {
 	s := searcher.Searcher{Prompt: !r.bounded}
 	known := make(map[int]int)
 
 	for _, n := range append(r.random.Perm(services), 0) {
 		if len(known) == services-1 {
-			n = least(known)
+			n = leastLoaded(known)
 		}
 
 		v := r.aggregator.Reserve(now, aggregator.Request{ID: c.id, Target: discoverer.Name(n), MaxCalls: s.MaxCalls(slots), Deadline: now.Add(time.Minute)})
@@ -114,8 +114,8 @@
 	return 0, false
 }
 
-// least returns the service with the fewest known calls.
-func least(known map[int]int) int {
+// leastLoaded returns the service with the fewest known calls.
+func leastLoaded(known map[int]int) int {
 	o, b := 0, -1
 
 	for n := range services {
@@ -188,10 +188,10 @@
 	return r.value / float64(r.calls)
 }
 
-// Guards against late and rejected calls when bursts slightly exceed the capacity of six
-// services, 900 calls per second. Without bounded queues, calls are sent to full services and
-// wait in queues of up to 24: most are late, and many are rejected. With short queues the calls
-// that run are in time and the others are retried. Below capacity the bound costs at most 0.01.
+// Guards against late and rejected calls when bursts slightly exceed the capacity of six services, 900 calls
+// per second. Without bounded queues, calls are sent to full services and wait in queues of up to 24: most
+// are late, and many are rejected. With short queues the calls that run are in time and the others are
+// retried. Below capacity the bound lowers the achieved fraction of the value by at most 0.01.
 func TestServicesSlightlyAboveCapacity(t *testing.T) {
 	for name, tc := range map[string]struct {
 		rate, least, gain float64
--- a/internal/searcher/searcher.go
+++ b/internal/searcher/searcher.go
@@ -54,7 +54,7 @@
 // number of calls that the target runs concurrently. After maxRequests requests, a service may
 // have queueFactor times as many.
 func (s *Searcher) MaxCalls(bound float64) int {
-	if s.last() && !s.Prompt {
+	if s.limitReached() && !s.Prompt {
 		bound *= queueFactor
 	}
 
@@ -66,7 +66,7 @@
 
 // Next records the outcome reported by a home and returns the next step.
 func (s *Searcher) Next(o aggregator.Outcome) Step {
-	last := s.last()
+	last := s.limitReached()
 
 	switch o {
 	case aggregator.Full:
@@ -74,13 +74,13 @@
 	case aggregator.Excluded:
 		s.excluded++
 	default:
-		// Granted, no answer, or an outcome of a newer release that is unknown here. Continuing
-		// the search for an unknown outcome might never end.
+		// Granted, no answer, or an outcome of a newer release that is unknown here. If the search continued
+		// after unknown outcomes, it might never end.
 		return Send
 	}
 
 	switch {
-	case !last && (!s.Prompt || !s.last()):
+	case !last && (!s.Prompt || !s.limitReached()):
 		return TryNext
 	case s.Prompt || o == aggregator.Excluded:
 		// The call must be sent to some target, and a target may accept more calls than its
@@ -91,5 +91,5 @@
 	}
 }
 
-// last reports whether the maximum number of requests for a slot without queueing was made.
-func (s *Searcher) last() bool { return s.full+s.excluded >= maxRequests }
+// limitReached reports whether the maximum number of requests for a slot without queueing was made.
+func (s *Searcher) limitReached() bool { return s.full+s.excluded >= maxRequests }
--- a/internal/signaler/signaler_test.go
+++ b/internal/signaler/signaler_test.go
@@ -15,22 +15,22 @@
 
 // signalLog records the reported signals and their effects.
 type signalLog struct {
-	mu   sync.Mutex
-	list []string
+	mu      sync.Mutex
+	entries []string
 }
 
 func (l *signalLog) record(s os.Signal, u signaler.Effect) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
-	l.list = append(l.list, s.String()+" "+string(u))
+	l.entries = append(l.entries, s.String()+" "+string(u))
 }
 
 func (l *signalLog) all() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
-	return append([]string(nil), l.list...)
+	return append([]string(nil), l.entries...)
 }
 
 // send sends signals to this process, and waits until each is reported before it sends the next.
--- a/internal/standin/engine/batch.go
+++ b/internal/standin/engine/batch.go
@@ -13,12 +13,13 @@
 	free    int
 	slots   int
 	waiting queue
-	number  int
+	lastSeq int
 }
 
+// waiter is a request that waits for a slot.
 type waiter struct {
 	priority int
-	number   int
+	seq      int
 	ready    chan struct{}
 	canceled bool
 }
@@ -31,7 +32,7 @@
 		return q[a].priority > q[b].priority
 	}
 
-	return q[a].number < q[b].number
+	return q[a].seq < q[b].seq
 }
 func (q queue) Swap(a, b int) { q[a], q[b] = q[b], q[a] }
 
@@ -66,8 +67,8 @@
 		return nil
 	}
 
-	b.number++
-	w := &waiter{priority: priority, number: b.number, ready: make(chan struct{})}
+	b.lastSeq++
+	w := &waiter{priority: priority, seq: b.lastSeq, ready: make(chan struct{})}
 	heap.Push(&b.waiting, w)
 	b.mu.Unlock()
 
@@ -82,7 +83,7 @@
 
 	select {
 	case <-w.ready:
-		b.handOn()
+		b.passSlot()
 	default:
 		w.canceled = true
 	}
@@ -94,12 +95,12 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 
-	b.handOn()
+	b.passSlot()
 }
 
-// handOn passes a released slot to the first waiter that wasn't cancelled, or marks the
+// passSlot passes a released slot to the first waiter that wasn't cancelled, or marks the
 // slot free.
-func (b *batch) handOn() {
+func (b *batch) passSlot() {
 	for b.waiting.Len() > 0 {
 		w, _ := heap.Pop(&b.waiting).(*waiter)
 		if !w.canceled {
--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -27,10 +27,10 @@
 // cache is a prefix cache with limited memory. A block's key is the hash of the prompt
 // up to the block's end, so a block only matches after the same prefix.
 type cache struct {
-	mu     sync.Mutex
-	blocks *simplelru.LRU[uint64, struct{}]
-	events []Event
-	number uint64
+	mu         sync.Mutex
+	blocks     *simplelru.LRU[uint64, struct{}]
+	events     []Event
+	lastNumber uint64
 }
 
 func newCache(tokens int) (*cache, error) {
@@ -81,16 +81,16 @@
 
 // recordEvent records an event and drops the oldest over maxEvents.
 func (c *cache) recordEvent(block uint64, evicted bool) {
-	c.number++
-	c.events = append(c.events, Event{Number: c.number, Time: time.Now(), Block: block, Evicted: evicted})
+	c.lastNumber++
+	c.events = append(c.events, Event{Number: c.lastNumber, Time: time.Now(), Block: block, Evicted: evicted})
 
 	if len(c.events) > maxEvents {
 		c.events = c.events[len(c.events)-maxEvents:]
 	}
 }
 
-// since returns the events after a number that are at least as old as the lag. It omits
-// every gap-th event; zero omits none.
+// since returns the events with a higher number than the given one that are at least as old
+// as the lag. It omits every gap-th event; zero omits none.
 func (c *cache) since(number uint64, lag time.Duration, gap uint64) []Event {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/standin/engine/completion.go
+++ b/internal/standin/engine/completion.go
@@ -274,8 +274,8 @@
 	defer s.mu.Unlock()
 
 	return gin.H{
-		"prompt_tokens": s.prompt, "completion_tokens": len(s.tokens),
-		"prompt_tokens_details": gin.H{"cached_tokens": s.cached},
+		"prompt_tokens": s.promptTokens, "completion_tokens": len(s.tokens),
+		"prompt_tokens_details": gin.H{"cached_tokens": s.cachedTokens},
 	}
 }
 
--- a/internal/standin/engine/stream.go
+++ b/internal/standin/engine/stream.go
@@ -8,14 +8,14 @@
 // stream is an answer that is being generated. A caller whose connection broke can
 // resume it at an offset. It is safe for concurrent use.
 type stream struct {
-	mu       sync.Mutex
-	tokens   []string
-	done     bool
-	changed  chan struct{}
-	cancel   context.CancelFunc
-	prompt   int
-	cached   int
-	canceled bool
+	mu           sync.Mutex
+	tokens       []string
+	done         bool
+	changed      chan struct{}
+	cancel       context.CancelFunc
+	promptTokens int
+	cachedTokens int
+	canceled     bool
 }
 
 func newStream(cancel context.CancelFunc) *stream {
@@ -39,12 +39,12 @@
 	s.notify()
 }
 
-func (s *stream) setUsage(prompt, cached int) {
+func (s *stream) setUsage(promptTokens, cachedTokens int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	s.prompt = prompt
-	s.cached = cached
+	s.promptTokens = promptTokens
+	s.cachedTokens = cachedTokens
 }
 
 func (s *stream) notify() {
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -36,8 +36,8 @@
 	Outage bool `json:"outage"`
 	// SlowMs delays each answer, in milliseconds.
 	SlowMs int `json:"slowMs"`
-	// LoseReplies is the number of next appends that take effect but whose connection
-	// is closed without an answer.
+	// LoseReplies is how many of the following appends lose their reply: they take effect,
+	// but their connection is closed without an answer.
 	LoseReplies int `json:"loseReplies"`
 	// Partitioned lists the data centres that cannot reach the platform.
 	Partitioned []string `json:"cut"`
--- a/internal/standin/porter/porter.go
+++ b/internal/standin/porter/porter.go
@@ -33,7 +33,7 @@
 // Refusing returns a loopback address that refuses connections until the test ends: its port
 // is bound to a socket that does not listen. The port of a closed listener could be bound by
 // another process at any time, and a test that expects a refusal would then reach that process.
-func Refusing(t testing.TB) netip.AddrPort { //nolint:thelper // As above.
+func Refusing(t testing.TB) netip.AddrPort { //nolint:thelper // One letter, as in all code here.
 	t.Helper()
 
 	n, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
--- a/internal/throttler/throttler.go
+++ b/internal/throttler/throttler.go
@@ -6,9 +6,9 @@
 // times its sustainable rate. The limit applies to all instances together, and within that second they can
 // neither coordinate nor rely on their information about each other.
 //
-// Each instance therefore has a share of the rate that it computes without messages: several calls per
-// second if there are few instances; and if there are many, one call per second at a few of them, which
-// are selected by a hash of the target.
+// Each instance therefore has a share of the rate that it computes without messages: several calls per second
+// if there are few instances; and if there are many, one call per second at a few of the instances, which are
+// selected for each target by a hash, and none at the others.
 package throttler
 
 import (
@@ -42,8 +42,8 @@
 	Settled bool
 }
 
-// window is the time for which a call counts: the second to which the rate applies, and 200 ms by which the
-// distance of two calls may shrink on the way to the target.
+// window is the time for which a call counts: the second to which the rate applies, plus 200 ms, by which the
+// interval between two calls may shrink on the way to the target.
 const window = time.Second + 200*time.Millisecond
 
 // Throttler counts the calls that this instance sends to cold targets. It is not safe for concurrent use.
@@ -121,23 +121,23 @@
 // Share returns the number of calls per second that an instance may send to a cold process with a
 // sustainable rate in calls per second.
 //
-// The sum of all shares is at most the rate times Coverage. The slack beyond it is reserved for instances
-// that don't know yet that the target is cold. In a partitioned fleet, each side uses a part of the rate in
-// proportion to its size. An instance that has just started knows no others and would consider itself the
-// only one; its share is zero.
+// The sum of all shares is at most the rate times Coverage. Slack is not distributed: it is reserved for
+// instances that don't know yet that the target is cold. In a partitioned fleet, each side uses a part of the
+// rate in proportion to its size. An instance that has just started knows no others and would consider itself
+// the only one; its share is zero.
 func (s Settings) Share(k discoverer.Key, rate float64, f Fleet) int {
 	if !f.Settled {
 		return 0
 	}
 
 	total := rate * s.Coverage
-	most := max(f.MaxInstances, len(f.Live), 1)
+	instances := max(f.MaxInstances, len(f.Live), 1)
 
-	if n := int(total / float64(most)); n > 0 {
+	if n := int(total / float64(instances)); n > 0 {
 		return n
 	}
 
-	if f.rank(k) < int(total*float64(len(f.Live))/float64(most)) {
+	if f.rank(k) < int(total*float64(len(f.Live))/float64(instances)) {
 		return 1
 	}
 
--- a/internal/throttler/throttler_test.go
+++ b/internal/throttler/throttler_test.go
@@ -15,7 +15,7 @@
 
 var bounds = throttler.Settings{Coverage: 1.5, Slack: 5}
 
-// ids returns the IDs from one number up to but excluding another.
+// ids returns the IDs from the first number up to but excluding the second.
 func ids(from, to uint64) []uint64 {
 	var o []uint64
 	for id := from; id < to; id++ {
