--- a/internal/aggregator/aggregator.go
+++ b/internal/aggregator/aggregator.go
@@ -139,8 +139,9 @@
 	a.health.record(now, target, s, latency)
 }
 
-// Report records a load report of a target. It includes the calls unknown to this home: those that a
-// former home granted, and those sent without a reservation while this home was unavailable.
+// Report records a load report of a target. The reported number includes calls unknown to this home:
+// those that a former home granted, and those sent without a reservation while this home was
+// unavailable.
 func (a *Aggregator) Report(now time.Time, target discoverer.Name, calls int) {
 	x := a.count(target)
 	x.report = LoadReport{Calls: calls, At: now}
--- a/internal/aggregator/aggregator_test.go
+++ b/internal/aggregator/aggregator_test.go
@@ -20,8 +20,8 @@
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-func request(number uint64, n discoverer.Name, most int) aggregator.Request {
-	return aggregator.Request{ID: aggregator.ID{Instance: 1, Number: number}, Target: n, MaxCalls: most, Deadline: at(time.Minute)}
+func request(number uint64, n discoverer.Name, maxCalls int) aggregator.Request {
+	return aggregator.Request{ID: aggregator.ID{Instance: 1, Number: number}, Target: n, MaxCalls: maxCalls, Deadline: at(time.Minute)}
 }
 
 // Guards against instances that all send to the same target since each sees it below its bound. A call
@@ -32,7 +32,7 @@
 	full := func(n int) aggregator.Verdict { return aggregator.Verdict{Outcome: aggregator.Full, Calls: n} }
 
 	for name, tc := range map[string]struct {
-		before  func(x *aggregator.Aggregator)
+		prepare func(x *aggregator.Aggregator)
 		request aggregator.Request
 		at      time.Duration
 		want    aggregator.Verdict
@@ -91,15 +91,16 @@
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
 			x := aggregator.New()
-			tc.before(x)
+			tc.prepare(x)
 			i.Equal(x.Reserve(at(tc.at), tc.request), tc.want)
 		})
 	}
 }
 
-// Guards against hundreds of instances that each detect a failing, unreachable or slow target with a call
-// of their own. Calls that may run only once can't be sent elsewhere, and hang at a slow engine. By the
-// results of all instances' calls the target is excluded at once, and readmitted by one probe call.
+// Guards against hundreds of instances that each detect a failing, unreachable or slow target with a
+// call of their own. Calls that may run only once can't be sent elsewhere, and hang at a slow engine.
+// From the results of all instances' calls, the target must be excluded for all instances at once, and
+// one probe call must readmit it.
 func TestExcludedTargets(t *testing.T) {
 	const median = 0.2
 
@@ -110,9 +111,9 @@
 	}
 
 	for name, tc := range map[string]struct {
-		before func(x *aggregator.Aggregator)
-		anyway bool
-		at     time.Duration
+		prepare       func(x *aggregator.Aggregator)
+		allowExcluded bool
+		at            time.Duration
 		// want are the outcomes of the first and the second request.
 		want [2]aggregator.Outcome
 	}{
@@ -147,11 +148,11 @@
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
 			x := aggregator.New()
-			tc.before(x)
+			tc.prepare(x)
 
 			for n, want := range tc.want {
 				r := request(uint64(n), target, 100)
-				r.MedianLatency, r.AllowExcluded = median, tc.anyway
+				r.MedianLatency, r.AllowExcluded = median, tc.allowExcluded
 				i.Equal(x.Reserve(at(tc.at), r).Outcome, want)
 			}
 		})
--- a/internal/aggregator/health.go
+++ b/internal/aggregator/health.go
@@ -53,7 +53,7 @@
 	return h.latencies.Slow(n, median) && h.latencies.ProbedRecently(now, n)
 }
 
-// start records that a call is sent to a target. If the target is excluded, it is a probe call.
+// start records that a call is sent to a target. If the target is excluded, the call is a probe call.
 func (h *health) start(now time.Time, n discoverer.Name) {
 	h.unreachable.StartProbe(now, n)
 	h.failing.StartProbe(now, n)
--- a/internal/aggregator/replay_test.go
+++ b/internal/aggregator/replay_test.go
@@ -28,18 +28,19 @@
 	notifyInterval = instances * 16 * time.Millisecond
 	// meanDuration is the mean duration of a call.
 	meanDuration = 400 * time.Millisecond
-	// maxAttempts is the number of homes that a call requests a slot from.
+	// maxAttempts is the maximum number of homes that a call requests a slot from.
 	maxAttempts = 5
 )
 
 // running is a call in progress at a target.
 type running struct {
-	by     int
-	target *discoverer.Target
-	ends   time.Time
-	id     aggregator.ID
+	instance int
+	target   *discoverer.Target
+	ends     time.Time
+	id       aggregator.ID
 }
 
+// queue is a heap of calls in the order of their ends.
 type queue []running
 
 func (q queue) Len() int           { return len(q) }
@@ -62,13 +63,14 @@
 	aggregator *aggregator.Aggregator
 	calls      queue
 	inProgress map[string]int
-	number     uint64
-	// sent counts the calls since the first second, and over those sent to a target that then had more
-	// calls than twice the mean plus three.
-	sent, over int
+	lastNumber uint64
+	// sent counts the calls since the first second, and overLimit those sent to a target that then had
+	// more calls than its limit, twice the mean plus three.
+	sent, overLimit int
 }
 
-// newReplay returns a fleet that requests slots from homes, or that chooses by load updates only.
+// newReplay returns a fleet. If homes is set, its instances request slots from homes; otherwise they
+// choose targets by load updates only.
 func newReplay(homes bool) *replay {
 	e := discoverer.New(discoverer.DefaultSettings())
 
@@ -103,8 +105,8 @@
 		k += 1 + r.random.Uint64N(prompts)
 	}
 
-	r.number++
-	x := running{by: n, ends: now.Add(time.Duration(r.random.ExpFloat64() * float64(meanDuration))), id: aggregator.ID{Number: r.number}}
+	r.lastNumber++
+	x := running{instance: n, ends: now.Add(time.Duration(r.random.ExpFloat64() * float64(meanDuration))), id: aggregator.ID{Number: r.lastNumber}}
 	x.target = r.choose(now, n, k, x.id)
 
 	r.inProgress[x.target.ID]++
@@ -113,7 +115,7 @@
 	r.sent++
 
 	if float64(r.inProgress[x.target.ID]) > 2*float64(len(r.calls))/targets+3 {
-		r.over++
+		r.overLimit++
 	}
 
 	r.selectors[n].ReportLoad(now, x.target, selector.LoadReport{Running: r.inProgress[x.target.ID], Slots: x.target.Slots})
@@ -144,7 +146,7 @@
 	for len(r.calls) > 0 && !r.calls[0].ends.After(now) {
 		x := heap.Pop(&r.calls).(running)
 		r.inProgress[x.target.ID]--
-		r.selectors[x.by].Finish(now, x.target, selector.Answered)
+		r.selectors[x.instance].Finish(now, x.target, selector.Answered)
 
 		if r.aggregator != nil {
 			r.aggregator.Release(now, x.target.Key().Name(), x.id, aggregator.Answered, 0)
@@ -178,11 +180,11 @@
 		}
 
 		if step == rate {
-			r.sent, r.over = 0, 0
+			r.sent, r.overLimit = 0, 0
 		}
 	}
 
-	return float64(r.over) / float64(r.sent)
+	return float64(r.overLimit) / float64(r.sent)
 }
 
 // Guards against instances that together overload the engine that holds a shared prompt, and then switch
--- a/internal/bencher/home_policy.go
+++ b/internal/bencher/home_policy.go
@@ -107,7 +107,7 @@
 
 	for i, c := range l[:min(len(l), 4)] { //nolint:mnd // As in the routers.
 		v := h.reserve(w, r, q, c, t, false)
-		if v.Reason == granter.Elsewhere {
+		if v.Reason == granter.OtherCell {
 			v = h.reserve(w, r, q, h.matcher.Cell(v.Cell), t, true)
 		}
 
@@ -122,7 +122,7 @@
 			if i > 0 {
 				return nil, 0
 			}
-		case granter.Full, granter.NoTargets, granter.Elsewhere:
+		case granter.Full, granter.NoTargets, granter.OtherCell:
 		}
 	}
 
--- a/internal/evaluator/evaluator.go
+++ b/internal/evaluator/evaluator.go
@@ -10,30 +10,30 @@
 )
 
 const (
-	// minSlow is the latency from which on a target may be slow, and slowFactor is the multiple of the
-	// median latency of its group that it must reach as well. A target that is merely busy is below
-	// both.
+	// A target is slow if its latency is at least minSlow (a fraction of the latency objective, see
+	// Evaluator) and at least slowFactor times the median latency of its group. The latency of a target
+	// that is merely busy is below both.
 	minSlow    = 0.4
 	slowFactor = 3
 	// sampleWeight is the weight of the latest answer in the moving average.
 	sampleWeight = 0.3
-	// minSamples is the number of answers from which on the latency of a target is known.
+	// minSamples is the minimum number of answers for a target's latency to be known.
 	minSamples = 3
 	// probeInterval is the time between two probe calls to a slow target, which test whether it is still
 	// slow.
 	probeInterval = time.Second
 )
 
-// latency is the moving average of a target's latency as a fraction, see Evaluator.
+// latency is the moving average of a target's latency, as a fraction of the latency objective.
 type latency struct {
 	fraction float64
 	samples  int
 	probedAt time.Time
 }
 
-// Evaluator tracks the latencies of targets, which have keys of type K. A latency is the time until an answer
-// begins, as a fraction of the time within which its beginning is of full use to the caller. It is not
-// safe for concurrent use.
+// Evaluator tracks the latencies of targets, which have keys of type K. A latency is the time until an
+// answer begins, as a fraction of the latency objective: the time within which an answer must begin to
+// be of full use to the caller. An Evaluator is not safe for concurrent use.
 type Evaluator[K comparable] struct {
 	latencies map[K]*latency
 }
@@ -66,8 +66,8 @@
 	return x
 }
 
-// RecordCall records that a call is sent to a target with recorded latencies. If the target is slow, it is a
-// probe call.
+// RecordCall records that a call is sent to a target with recorded latencies. If the target is slow, the
+// call is a probe call.
 func (e *Evaluator[K]) RecordCall(now time.Time, target K) {
 	if x, ok := e.latencies[target]; ok && now.Sub(x.probedAt) >= probeInterval {
 		x.probedAt = now
--- a/internal/filterer/filterer_test.go
+++ b/internal/filterer/filterer_test.go
@@ -234,7 +234,7 @@
 		},
 		"cell redirects, then asks to wait": {
 			"GET", &fakeDeps{reservations: []requester.Reservation{
-				{Reason: granter.Elsewhere, Target: configuration().Matcher.Cells()[0].ID}, {Reason: granter.Wait, RetryAfter: time.Second},
+				{Reason: granter.OtherCell, Target: configuration().Matcher.Cells()[0].ID}, {Reason: granter.Wait, RetryAfter: time.Second},
 			}}, exchanger.Ran, 1, nil,
 		},
 	} {
--- a/internal/filterer/pick.go
+++ b/internal/filterer/pick.go
@@ -76,11 +76,11 @@
 		v, err := p.Slots.Reserve(y, r)
 		end(err)
 
-		if err != nil || v.Reason != granter.Wait && v.Reason != granter.Elsewhere {
+		if err != nil || v.Reason != granter.Wait && v.Reason != granter.OtherCell {
 			return v, err
 		}
 
-		if v.Reason == granter.Elsewhere {
+		if v.Reason == granter.OtherCell {
 			y := m.Cell(v.Target)
 			if y == nil || r.Forwarded {
 				return v, nil
--- a/internal/forwarder/attempt.go
+++ b/internal/forwarder/attempt.go
@@ -244,8 +244,8 @@
 		Remaining: time.Until(x.deadline), LastEvent: x.lastEvent,
 	}
 
-	if t.Source != nil {
-		o.Source = t.Source.Address
+	if t.FetchFrom != nil {
+		o.Source = t.FetchFrom.Address
 	}
 
 	f.dialect.WriteAttempt(h, o)
--- a/internal/forwarder/exchange.go
+++ b/internal/forwarder/exchange.go
@@ -213,8 +213,8 @@
 		l["longestPause"] = x.longestGap.Round(time.Microsecond)
 	}
 
-	if x.choice.Source != nil {
-		l["fetchedFrom"] = x.choice.Source.ID
+	if x.choice.FetchFrom != nil {
+		l["fetchedFrom"] = x.choice.FetchFrom.ID
 	}
 
 	return l
--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -291,12 +291,12 @@
 	f.selector.ApplyUpdate(time.Now(), f.state.Registry(), n)
 }
 
-// Views returns the targets as this instance sees them.
-func (f *Forwarder) Views() []selector.View {
+// TargetStates returns the targets as this instance sees them.
+func (f *Forwarder) TargetStates() []selector.TargetState {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
-	return f.selector.Views(time.Now(), f.state.Registry())
+	return f.selector.TargetStates(time.Now(), f.state.Registry())
 }
 
 // MarkGone applies a notification from another instance that processes of targets are gone.
--- a/internal/forwarder/process_test.go
+++ b/internal/forwarder/process_test.go
@@ -19,7 +19,7 @@
 func (g *gateway) excluded() []string {
 	o := []string{}
 
-	for _, v := range g.forwarder.Views() {
+	for _, v := range g.forwarder.TargetStates() {
 		if v.Excluded {
 			o = append(o, v.Target.ID)
 		}
@@ -104,18 +104,18 @@
 			w.Go(func() { a = g.call(t, http.MethodPost, x.path, "") })
 
 			<-reached
-			is.Equal(g.forwarder.Views()[0].Load, 1.0)
+			is.Equal(g.forwarder.TargetStates()[0].Load, 1.0)
 			g.setTargets(g.restarted("t0"))
 
-			fresh := []selector.View{{Target: g.state.Registry().Known["t0"]}, {Target: g.state.Registry().Known["t1"]}}
-			is.Equal(g.forwarder.Views(), fresh) // No call runs at the new process.
+			fresh := []selector.TargetState{{Target: g.state.Registry().Known["t0"]}, {Target: g.state.Registry().Known["t1"]}}
+			is.Equal(g.forwarder.TargetStates(), fresh) // No call runs at the new process.
 
 			close(restarted)
 			w.Wait()
 
 			is.Equal(a.status, x.status)
 			is.Equal(y.count()+z.count(), 1)
-			is.Equal(g.forwarder.Views(), fresh)
+			is.Equal(g.forwarder.TargetStates(), fresh)
 		})
 	}
 }
--- a/internal/forwarder/reply_test.go
+++ b/internal/forwarder/reply_test.go
@@ -283,7 +283,7 @@
 	g := newGateway(t, &target{answer: answering("421 Misdirected Request", "", "Not-Run: 1", "Running: 50")}, &target{answer: answerOK})
 	g.call(t, http.MethodGet, "/once/", "")
 
-	for _, v := range g.forwarder.Views() {
+	for _, v := range g.forwarder.TargetStates() {
 		i.Equal(v.Load, 0.0)
 	}
 }
--- a/internal/gatekeeper/evacuation_handler_test.go
+++ b/internal/gatekeeper/evacuation_handler_test.go
@@ -177,8 +177,8 @@
 
 func (r running) Running(centre string) int { return r[centre] }
 
-func (r running) Views() []selector.View {
-	return []selector.View{{Target: &discoverer.Target{DataCentre: "a"}, Load: 2.6}, {Target: &discoverer.Target{DataCentre: "b"}, Load: 9}}
+func (r running) TargetStates() []selector.TargetState {
+	return []selector.TargetState{{Target: &discoverer.Target{DataCentre: "a"}, Load: 2.6}, {Target: &discoverer.Target{DataCentre: "b"}, Load: 9}}
 }
 
 // Guards against log lines and replies that don't show when a data centre may be switched off.
--- a/internal/gatekeeper/evacuation_reporter.go
+++ b/internal/gatekeeper/evacuation_reporter.go
@@ -22,7 +22,7 @@
 type workload interface {
 	// Running returns the number of calls from this instance at the targets of a data centre.
 	Running(centre string) int
-	Views() []selector.View
+	TargetStates() []selector.TargetState
 }
 
 // evacuationReporter reports the calls that still run in evacuated data centres.
@@ -64,7 +64,7 @@
 
 		load := 0.0
 
-		for _, v := range e.workload.Views() {
+		for _, v := range e.workload.TargetStates() {
 			if v.Target.DataCentre == c {
 				x.Targets++
 				load += v.Load
--- a/internal/gatekeeper/metrics.go
+++ b/internal/gatekeeper/metrics.go
@@ -25,7 +25,7 @@
 	m.RegisterGauge("control_bytes_sent", func() float64 { s, _ := g.messenger.Traffic().Bytes(); return float64(s) })
 	m.SetLoads(func() []meter.Load {
 		var o []meter.Load
-		for _, v := range g.forwarder.Views() {
+		for _, v := range g.forwarder.TargetStates() {
 			o = append(o, meter.Load{Target: v.Target.ID, Group: v.Target.Group, Calls: v.Load, Excluded: v.Excluded})
 		}
 
--- a/internal/gatekeeper/options.go
+++ b/internal/gatekeeper/options.go
@@ -127,7 +127,7 @@
 	b := time.Now()
 	p := &peak{count: func() int { return max(len(j.Live()), len(j.Seeds())) }, window: shareRetention}
 	c := selector.New(selector.DefaultSettings().WithMaxFactor(s.MaxFactor))
-	c.Throttle(s.Cold, func() throttler.Fleet {
+	c.ConfigureThrottling(s.Cold, func() throttler.Fleet {
 		o := throttler.Fleet{Self: j.Self().ID, MaxInstances: p.value(), Settled: time.Since(b) >= settledAfter}
 		for _, m := range j.Live() {
 			o.Live = append(o.Live, m.ID)
--- a/internal/granter/backoff_test.go
+++ b/internal/granter/backoff_test.go
@@ -16,8 +16,8 @@
 
 	for name, x := range map[string]struct {
 		inBackoff, leaving []uint32
-		// want are the targets that are granted, and wait is the least delay before a retry if there
-		// are none.
+		// want are the targets at which slots are granted, and wait is the minimum delay before a retry
+		// if there are none.
 		want []uint32
 		wait time.Duration
 	}{
--- a/internal/granter/choose.go
+++ b/internal/granter/choose.go
@@ -57,9 +57,9 @@
 }
 
 // load returns the work and the number of requests at a target: those granted here, and those that
-// others must have sent according to the target's load report. While two routers both consider
-// themselves the cell's home, the report is the only sign of the other's grants; without it, they
-// would overload the target together.
+// other routers must have sent according to the target's load report. While two routers both consider
+// themselves the cell's home, the report is the only sign of the other's grants; without it, they would
+// overload the target together.
 func (g *Granter) load(now time.Time, t *target) (work float64, requests int) {
 	if t.reported < 0 || now.Sub(t.reportedAt) > reportTimeout {
 		return t.work, t.requests
@@ -118,7 +118,8 @@
 // floating point, so that a load does not depend on the order in which grants start and end.
 const workResolution = 1024
 
-// work returns the work of a request with a number of uncached prompt tokens, in requests.
+// work returns the work of a request with the given number of uncached prompt tokens. Its unit is the
+// work of a request without such tokens.
 func (g *Granter) work(uncached int) float64 {
 	return 1 + math.Round(float64(uncached)*g.settings.PrefillCost*workResolution)/workResolution
 }
@@ -214,8 +215,9 @@
 	}
 }
 
-// refuseNoTargets refuses a request that no target can accept. If all selected targets are in backoff,
-// the reply requests a retry no earlier than the end of the shortest one.
+// refuseNoTargets refuses a request that no target can accept. If all targets that the routing rule
+// selects and that are not leaving are in backoff, the reply requests a retry no earlier than the end
+// of the shortest backoff.
 func (g *Granter) refuseNoTargets(now time.Time, a Request) Verdict {
 	var backoff time.Duration
 
--- a/internal/granter/grant.go
+++ b/internal/granter/grant.go
@@ -15,16 +15,17 @@
 
 // Outcome is the result of a granted request.
 type Outcome struct {
-	// OK reports whether the target answered. An answer that blames the caller's request counts as OK.
+	// OK reports whether the target answered. An answer that reports an error in the request itself
+	// counts as OK.
 	OK bool
 	// NeverSent reports whether the request failed to reach the target, for a reason that is no evidence on
 	// the target's health.
 	NeverSent bool
 }
 
-// Sync replaces the recorded grants of an entry with the entry's own list. An entry sends the list to a
-// new home and periodically, so that a grant whose release or verdict was lost does not count for ever.
-// Grants with a sequence number above upTo are newer than the list and remain.
+// Sync replaces the recorded grants of an entry router with the router's own list. The entry router
+// sends the list to a new home and periodically, so that a grant whose release or verdict was lost does
+// not count for ever. Grants with a sequence number above upTo are newer than the list and remain.
 func (g *Granter) Sync(now time.Time, entry uint64, upTo uint32, l []Grant) {
 	g.lastSeen[entry] = now
 	k := make(map[ID]bool, len(l))
@@ -44,7 +45,7 @@
 	}
 }
 
-// Forget removes all grants of an entry.
+// Forget removes all grants of an entry router.
 func (g *Granter) Forget(entry uint64) {
 	for id := range g.grants {
 		if id.Entry == entry {
@@ -55,8 +56,8 @@
 	delete(g.lastSeen, entry)
 }
 
-// Expire removes the grants of the entries that have sent no message for EntryTimeout. Otherwise the work of a killed
-// entry would count for ever and shift load from its targets to the others.
+// Expire removes the grants of the entry routers that have sent no message for EntryTimeout. Otherwise
+// the work of a killed entry router would count for ever and shift load from its targets to the others.
 func (g *Granter) Expire(now time.Time) {
 	for e, t := range g.lastSeen {
 		if now.Sub(t) > g.settings.EntryTimeout {
--- a/internal/granter/granter.go
+++ b/internal/granter/granter.go
@@ -26,7 +26,7 @@
 	// reported is the load in the last report; negative if there was none.
 	reported   int
 	reportedAt time.Time
-	// reportRequestedAt is when an entry was last requested to report the target's load.
+	// reportRequestedAt is when an entry router was last requested to report the target's load.
 	reportRequestedAt time.Time
 }
 
@@ -38,7 +38,7 @@
 	ids      []uint32
 	byID     map[uint32]*target
 	grants   map[ID]Grant
-	// lastSeen is the time of the last message of each entry.
+	// lastSeen is the time of the last message of each entry router.
 	lastSeen    map[uint64]time.Time
 	placements  *placer.Placer
 	allocator   *allocator.Allocator
@@ -158,8 +158,8 @@
 	return Verdict{Target: g.targets[i].ID, Returned: i == p, ReportDue: g.targets[i].reportDue(now)}
 }
 
-// reportDue reports whether an entry is to report the target's load, and records the time if so. One
-// report per reportInterval is sufficient and costs much less than one with each request.
+// reportDue reports whether the entry router is to report the target's load, and records the time if
+// so. One report per reportInterval is sufficient and costs much less than one with each request.
 func (t *target) reportDue(now time.Time) bool {
 	if now.Sub(t.reportedAt) < reportInterval || now.Sub(t.reportRequestedAt) < reportInterval {
 		return false
@@ -199,8 +199,9 @@
 	}
 }
 
-// StartBackoff starts a backoff: a target that refused a request requested no calls for a duration. It gets none
-// from any entry, since all entries request their slots here. Unknown targets are ignored.
+// StartBackoff starts a backoff of duration d for a target that refused a request and requested no
+// calls for that time. The target then gets no requests from any entry router, since all of them
+// request their slots here. Unknown targets are ignored.
 func (g *Granter) StartBackoff(now time.Time, t uint32, d time.Duration) {
 	if _, ok := g.byID[t]; ok {
 		g.suppressor.StartBackoff(now, t, d)
@@ -208,9 +209,9 @@
 }
 
 // Report records the load and the state that a target reported at the beginning of an answer or in a
-// health check. Values from the end of a long answer are stale and must not be passed. A negative number
-// of requests means that the load is unknown, and a zero incarnation that the state is. Unknown targets
-// are ignored.
+// health check. Values from the end of a long answer are stale and must not be passed. A negative
+// number of requests means that the load is unknown, and a zero incarnation that the state is unknown.
+// Unknown targets are ignored.
 func (g *Granter) Report(now time.Time, t uint32, requests int, s tracker.State) {
 	x, ok := g.byID[t]
 	if !ok {
@@ -244,9 +245,9 @@
 	g.placements.Put(now, chat, p)
 }
 
-// ChangedPlacements returns up to n placements that are new since the last call, for the cell's next home, and
-// the next ones of a cyclic scan over all placements, up to the number others. The scan repairs what a
-// successor missed because it had just started itself.
+// ChangedPlacements returns placements to send to the cell's next home: up to n that are new since the
+// last call, and up to others more from a cyclic scan over all placements. The scan resends placements
+// that the next home missed, for example because it had only just started.
 func (g *Granter) ChangedPlacements(n, others int) []placer.Chat {
 	var o []placer.Chat
 
@@ -286,7 +287,8 @@
 	return len(g.grants)
 }
 
-// Unreported returns the targets without a load report since a point in time, except for those in backoff.
+// Unreported returns the targets without a load report since the given time, except for those in
+// backoff.
 func (g *Granter) Unreported(now, since time.Time) []uint32 {
 	var o []uint32
 
--- a/internal/granter/granter_test.go
+++ b/internal/granter/granter_test.go
@@ -53,8 +53,8 @@
 }
 
 // Guards against a target loaded to twice its bound while two routers both consider themselves the
-// cell's home, as they do for seconds after one was suspected. Each counts only its own grants and learns
-// of the other's from the targets' load reports.
+// cell's home, as happens for seconds after one of them was suspected to have failed. Each counts only
+// its own grants and learns of the other's from the targets' load reports.
 func TestTwoHomesDoNotOverloadATarget(t *testing.T) {
 	i := is.New(t)
 	a, b := newFixture(2), newFixture(2)
@@ -110,8 +110,8 @@
 	i.Equal(n[2], 5)
 }
 
-// Guards against chats that lose their cached prefix: a chat returns to the target of its placement while
-// the load permits, and after the loss of the home to the target of the caller's token.
+// Guards against chats that lose their cached prefix: a chat returns to the target of its placement
+// while the load permits, and after the loss of the home to the target named in the caller's token.
 func TestChatReturnsToItsPlacement(t *testing.T) {
 	i := is.New(t)
 	f := newFixture(4)
@@ -132,7 +132,7 @@
 // connection, or an entry is killed with all its requests.
 func TestLostGrantsAreRemoved(t *testing.T) {
 	for name, tc := range map[string]struct {
-		then func(f *fixture, last granter.ID)
+		loss func(f *fixture, last granter.ID)
 		want int
 	}{
 		"no loss": {func(f *fixture, _ granter.ID) { f.Expire(f.now) }, 3},
@@ -158,7 +158,7 @@
 				k, _ = f.reserve(1, uint64(n+1), 1)
 			}
 
-			tc.then(f, k)
+			tc.loss(f, k)
 
 			_, r := f.Load(1)
 			i.Equal(r, tc.want)
@@ -196,9 +196,9 @@
 		waited time.Duration
 		want   granter.Reason
 	}{
-		"long prefix":                    {8000, 0, granter.Wait},
-		"waited for as long as it saves": {8000, 350 * time.Millisecond, granter.Granted},
-		"short prefix":                   {300, 0, granter.Granted},
+		"long prefix":                        {8000, 0, granter.Wait},
+		"waited as long as the prefix saves": {8000, 350 * time.Millisecond, granter.Granted},
+		"short prefix":                       {300, 0, granter.Granted},
 	} {
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
@@ -238,12 +238,12 @@
 	f.ReportCell(f.now, 901, 6, 80)
 
 	_, v := f.reserve(1, 77, 1)
-	i.Equal(v.Reason, granter.Elsewhere)
+	i.Equal(v.Reason, granter.OtherCell)
 	i.Equal(v.Cell, uint32(900))
 
 	f.Sync(f.now, 2, 1000, nil) // This cell is empty now.
 	_, v = f.reserve(1, 77, 1)
-	i.Equal(v.Reason, granter.Elsewhere) // The chat is still assigned to the cell that holds it.
+	i.Equal(v.Reason, granter.OtherCell) // The chat is still assigned to the cell that holds it.
 	i.Equal(v.Cell, uint32(900))
 
 	_, v = f.reserve(1, 5, 1)
--- a/internal/granter/request.go
+++ b/internal/granter/request.go
@@ -16,7 +16,8 @@
 	ID       ID
 	Chat     uint64
 	Customer uint32
-	Weight   float64
+	// Weight is the customer's weight in the allocation of the cell's capacity, see allocator.Allocator.
+	Weight float64
 	// Prompt is the length of the prompt in tokens.
 	Prompt int
 	// Waited is how long the request has waited for a slot at the target of its placement.
--- a/internal/granter/verdict.go
+++ b/internal/granter/verdict.go
@@ -20,9 +20,9 @@
 	// Wait means that the target of the chat's placement is above its load bound, and that waiting
 	// for it costs less than computing the chat's prefix again elsewhere.
 	Wait
-	// Elsewhere means that another cell of the pool, given in Verdict.Cell, holds the chat or is less
+	// OtherCell means that another cell of the pool, given in Verdict.Cell, holds the chat or is less
 	// loaded.
-	Elsewhere
+	OtherCell
 )
 
 // String returns the name of the reason.
--- a/internal/picker/picker.go
+++ b/internal/picker/picker.go
@@ -53,7 +53,8 @@
 	Customer uint32
 	// Share is the customer's share of the load, from 0 to 1.
 	Share float64
-	// Placement is the index of the candidate that has the chat's prefix in its cache, or -1.
+	// Placement is the index of the candidate that has the chat's prefix in its cache, or
+	// NoTarget.
 	Placement int
 	// Work is the work of the request at a target without its prefix, and PlacementWork its
 	// work at its placement.
@@ -107,8 +108,8 @@
 	mean     float64
 }
 
-// newBound computes the mean load per weight of the counted candidates and the other
-// targets, including the request's own work.
+// newBound computes the mean load per unit of weight of the counted candidates and the
+// other targets, including the request's own work.
 func newBound(s Settings, r Request, c []Candidate) bound {
 	l, w := r.OtherLoad, r.OtherWeight
 
@@ -153,9 +154,9 @@
 }
 
 // subset returns the indexes of the customer's targets, the first ones in its rendezvous
-// order, so that a surge adds targets without moving chats. The subset keeps a prompt prefix
-// that is common to the customer's chats on few targets, and isolates other customers from
-// the surge.
+// order, so that a surge adds targets to the subset without moving chats. The subset keeps
+// a prompt prefix that is common to the customer's chats on few targets, and isolates other
+// customers from the surge.
 func subset(s Settings, r Request, c []Candidate) []int {
 	u := make([]int, 0, len(c))
 
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -13,25 +13,26 @@
 	// EntryBytes is the memory of one entry.
 	EntryBytes = 16
 	// tokenUnit is the resolution of a chat's stored length, in tokens.
-	tokenUnit = 32
-	maxUnits  = 1<<16 - 1
-	// seenUnit is the resolution of the stored time of last use. Its 16 bits wrap after 18
+	tokenUnit     = 32
+	maxTokenUnits = 1<<16 - 1
+	// lastUsedUnit is the resolution of the stored time of last use. Its 16 bits wrap after 18
 	// hours, longer than a prefix stays in a cache.
-	seenUnit = time.Second
+	lastUsedUnit = time.Second
 )
 
 // Placement is the target that served a chat last.
 type Placement struct {
 	Target uint32
-	// Tokens is the length of the prompt and answer at that time, rounded down to 32.
+	// Tokens is the length of the prompt and answer at that time, rounded down to a
+	// multiple of 32.
 	Tokens int
 }
 
 type entry struct {
-	chat   uint64
-	target uint32
-	units  uint16
-	seen   uint16
+	chat       uint64
+	target     uint32
+	tokenUnits uint16
+	lastUsed   uint16
 }
 
 // Placer is a set-associative table of placements. It is not safe for concurrent use.
@@ -61,7 +62,7 @@
 	for i := range p.bucket(chat) {
 		s := &p.bucket(chat)[i]
 		if s.target != 0 && s.chat == chat {
-			return Placement{Target: s.target, Tokens: int(s.units) * tokenUnit}, true
+			return Placement{Target: s.target, Tokens: int(s.tokenUnits) * tokenUnit}, true
 		}
 	}
 
@@ -79,10 +80,10 @@
 	}
 
 	p.set(entry{
-		chat:   chat,
-		target: x.Target,
-		units:  uint16(min(max(x.Tokens, 0)/tokenUnit, maxUnits)),
-		seen:   uint16(now.Unix() / int64(seenUnit/time.Second)), //nolint:gosec // Wraps by design.
+		chat:       chat,
+		target:     x.Target,
+		tokenUnits: uint16(min(max(x.Tokens, 0)/tokenUnit, maxTokenUnits)),
+		lastUsed:   uint16(now.Unix() / int64(lastUsedUnit/time.Second)), //nolint:gosec // Wraps by design.
 	})
 }
 
@@ -114,7 +115,7 @@
 		}
 
 		if s := p.entries[i]; s.target != 0 {
-			o = append(o, Chat{Chat: s.chat, Placement: Placement{Target: s.target, Tokens: int(s.units) * tokenUnit}})
+			o = append(o, Chat{Chat: s.chat, Placement: Placement{Target: s.target, Tokens: int(s.tokenUnits) * tokenUnit}})
 		}
 	}
 
@@ -140,7 +141,7 @@
 			return
 		}
 
-		if evictsBefore(b[i], b[v], n.seen) {
+		if evictsBefore(b[i], b[v], n.lastUsed) {
 			v = i
 		}
 	}
@@ -159,7 +160,7 @@
 		return false
 	}
 
-	return a.target == 0 || now-a.seen > now-b.seen
+	return a.target == 0 || now-a.lastUsed > now-b.lastUsed
 }
 
 // grow doubles the table. This is rare: a table grows from 2 KB to 8 MB in
--- a/internal/reconciler/reconciler.go
+++ b/internal/reconciler/reconciler.go
@@ -2,9 +2,9 @@
 // model of each target with the one that the target reports, sends a command if they
 // differ, and repeats.
 //
-// It stores no commands, so the next pass corrects a router failure half-way or a
-// command that arrived too late. This is the reconciler of "Commit the Intent, Then Touch
-// the Cluster", with a lease from the platform's log.
+// It stores no commands. If a router fails during a pass or a command arrives too late, the
+// next pass compares again and corrects the target. This is the reconciler of "Commit the
+// Intent, Then Touch the Cluster", with a lease from the platform's log.
 package reconciler
 
 import (
@@ -82,14 +82,14 @@
 // Run makes a pass every 5 s until the context ends. The function isHome reports whether this
 // router is the home (home node) of a cell. Only the home reconciles the cell's targets, so
 // that routers rarely request the same lease.
-func (r *Reconciler) Run(c context.Context, force func() *follower.Config, isHome func(*matcher.Cell) bool) {
+func (r *Reconciler) Run(c context.Context, config func() *follower.Config, isHome func(*matcher.Cell) bool) {
 	t := time.NewTicker(passInterval)
 	defer t.Stop()
 
 	for {
 		select {
 		case <-t.C:
-			r.pass(c, force().Matcher, isHome)
+			r.pass(c, config().Matcher, isHome)
 		case <-c.Done():
 			return
 		}
--- a/internal/reconciler/reconciler_test.go
+++ b/internal/reconciler/reconciler_test.go
@@ -24,13 +24,13 @@
 	"github.com/auburntray/auburntray/internal/standin/engine"
 )
 
-// log is a fake of the platform's log on the test's clock. Appends take the time slow, and
-// lose their replies if down is set.
+// log is a fake of the platform's log on the test's clock. An append takes the time delay,
+// and its reply is lost if losesReplies is set.
 type log struct {
-	mu      sync.Mutex
-	records []recorder.Record
-	slow    time.Duration
-	down    bool
+	mu           sync.Mutex
+	records      []recorder.Record
+	delay        time.Duration
+	losesReplies bool
 }
 
 func (l *log) Append(_ context.Context, _ string, d [][]byte) (uint64, error) {
@@ -41,11 +41,11 @@
 		l.records = append(l.records, recorder.Record{Offset: uint64(len(l.records)), Time: time.Now(), Data: x})
 	}
 
-	s, down := l.slow, l.down
+	s, lost := l.delay, l.losesReplies
 	l.mu.Unlock()
 	time.Sleep(s)
 
-	if down {
+	if lost {
 		return 0, recorder.ErrUncertain
 	}
 
@@ -61,15 +61,15 @@
 	}, nil
 }
 
-// target is a fake engine that accepts commands. It refuses outdated fencing numbers if checks
-// is set.
+// target is a fake engine that accepts commands. It refuses outdated fencing numbers if
+// checksFence is set.
 type target struct {
-	checks bool
-	model  string
-	fence  uint64
-	orders int
-	// before runs once, immediately before a command arrives.
-	before func()
+	checksFence bool
+	model       string
+	fence       uint64
+	commands    int
+	// beforeCommand runs once, immediately before a command arrives.
+	beforeCommand func()
 }
 
 func (x *target) ReportedModel(context.Context, netip.AddrPort) (string, uint64, error) {
@@ -77,17 +77,17 @@
 }
 
 func (x *target) CommandModel(_ context.Context, _ netip.AddrPort, model string, fence uint64) error {
-	if f := x.before; f != nil {
-		x.before = nil
+	if f := x.beforeCommand; f != nil {
+		x.beforeCommand = nil
 		f()
 	}
 
-	if x.checks && fence < x.fence {
+	if x.checksFence && fence < x.fence {
 		return sender.ErrFenced
 	}
 
 	x.model, x.fence = model, max(fence, x.fence)
-	x.orders++
+	x.commands++
 
 	return nil
 }
@@ -100,16 +100,16 @@
 	logrus.SetLevel(logrus.FatalLevel)
 
 	for name, tc := range map[string]struct {
-		log    *log
-		model  string
-		err    error
-		orders int
-		want   string
+		log      *log
+		model    string
+		err      error
+		commands int
+		want     string
 	}{
 		"models differ":                   {&log{}, "old", nil, 1, "new"},
 		"models agree":                    {&log{}, "new", nil, 0, "new"},
-		"reply to lease request is lost":  {&log{down: true}, "old", reconciler.ErrNoLease, 0, "old"},
-		"stalled after the lease request": {&log{slow: 6 * time.Second}, "old", reconciler.ErrLeaseExpired, 0, "old"},
+		"reply to lease request is lost":  {&log{losesReplies: true}, "old", reconciler.ErrNoLease, 0, "old"},
+		"stalled after the lease request": {&log{delay: 6 * time.Second}, "old", reconciler.ErrLeaseExpired, 0, "old"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -117,7 +117,7 @@
 				x := &target{model: tc.model}
 				err := reconciler.New(tc.log, x, counter.New(), 1).Reconcile(t.Context(), desired("new"))
 				i.True(errors.Is(err, tc.err))
-				i.Equal(x.orders, tc.orders)
+				i.Equal(x.commands, tc.commands)
 				i.Equal(x.model, tc.want)
 			})
 		})
@@ -135,10 +135,10 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				i := is.New(t)
-				l, x := &log{}, &target{checks: checks, model: "old"}
+				l, x := &log{}, &target{checksFence: checks, model: "old"}
 				a, b := reconciler.New(l, x, counter.New(), 1), reconciler.New(l, x, counter.New(), 2)
 
-				x.before = func() {
+				x.beforeCommand = func() {
 					time.Sleep(11 * time.Second)
 					i.NoErr(b.Reconcile(t.Context(), desired("new")))
 				}
@@ -163,10 +163,10 @@
 		l, x := &log{}, &target{model: "old"}
 		a, b := reconciler.New(l, x, counter.New(), 1), reconciler.New(l, x, counter.New(), 2)
 
-		x.before = func() { i.True(errors.Is(b.Reconcile(t.Context(), desired("new")), reconciler.ErrNoLease)) }
+		x.beforeCommand = func() { i.True(errors.Is(b.Reconcile(t.Context(), desired("new")), reconciler.ErrNoLease)) }
 
 		i.NoErr(a.Reconcile(t.Context(), desired("new")))
-		i.Equal(x.orders, 1)
+		i.Equal(x.commands, 1)
 	})
 }
 
--- a/internal/reserver/reserver.go
+++ b/internal/reserver/reserver.go
@@ -3,9 +3,9 @@
 //
 // The home of a target (as in home node) is the one instance that counts the calls at the target: the
 // first by rendezvous hashing among the instances in the target's data centre. An instance that is
-// partitioned from the home is also partitioned from the target, and needs no slot there. Homes need no
+// partitioned from the home is also partitioned from the target, and needs no slot at it. Homes need no
 // consensus and keep no durable state. After a failure the next home starts with empty counts, and the
-// load reports of targets supply what is missing.
+// load reports of targets supply the missing counts.
 package reserver
 
 import (
@@ -30,9 +30,9 @@
 var ErrReservation = errors.New("invalid reservation message")
 
 const (
-	// minInstances is the number of live instances from which on slots are reserved. With fewer, load
-	// updates between instances are more recent than the duration of a call: they take 16 ms per
-	// instance.
+	// minInstances is the minimum number of live instances for slots to be reserved. With fewer
+	// instances, the load updates between them are recent enough: each instance sends one every 16 ms
+	// times the number of instances, which is less than the duration of a call.
 	minInstances = 16
 	// reserveTimeout bounds a request to a home. Within a region a reply takes one or two
 	// milliseconds, and a call should begin within about a hundred.
@@ -42,7 +42,7 @@
 	homeBackoff = time.Second
 	// sendTimeout bounds the sending of a message without a reply.
 	sendTimeout = 300 * time.Millisecond
-	// fractionUnits is the number of units in one; fractions are sent in hundredths.
+	// fractionUnits is the number on the wire that represents 1: fractions are sent in hundredths.
 	fractionUnits = 100
 )
 
@@ -52,8 +52,8 @@
 	Send(c context.Context, a netip.AddrPort, k wire.Kind, m msgp.Marshaler) error
 }
 
-// Members returns the live instances, the home of a key among those in some data centres, and this
-// instance itself.
+// Members returns the live instances, the home of a key among the live instances of the given data
+// centres, and this instance itself.
 type Members interface {
 	Live() []gossiper.Member
 	Home(key uint64, centres []string) (gossiper.Member, bool)
@@ -67,7 +67,7 @@
 
 	mu         sync.Mutex
 	aggregator *aggregator.Aggregator
-	number     uint64
+	lastNumber uint64
 	// silentSince is the time of the last request without a reply, by the ID of the home.
 	silentSince map[uint64]time.Time
 }
@@ -197,9 +197,9 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
-	r.number++
+	r.lastNumber++
 
-	return r.number
+	return r.lastNumber
 }
 
 // request requests a slot from a home. A home that does not reply in time gets no further requests for
--- a/internal/reserver/reserver_test.go
+++ b/internal/reserver/reserver_test.go
@@ -113,8 +113,8 @@
 }
 
 // request returns a request with a bound on the calls at the target.
-func request(most int) aggregator.Request {
-	return aggregator.Request{MaxCalls: most, Deadline: time.Now().Add(time.Minute)}
+func request(maxCalls int) aggregator.Request {
+	return aggregator.Request{MaxCalls: maxCalls, Deadline: time.Now().Add(time.Minute)}
 }
 
 // registry returns a registry with one target.
@@ -136,16 +136,16 @@
 				f.home = home
 				x := registry().Known["t"]
 
-				a, end := f.instances[0].Reserve(t.Context(), x, request(2))
+				a, release := f.instances[0].Reserve(t.Context(), x, request(2))
 				b, _ := f.instances[1].Reserve(t.Context(), x, request(2))
 				i.Equal(a, aggregator.Verdict{Outcome: aggregator.Granted, Calls: 1})
 				i.Equal(b, aggregator.Verdict{Outcome: aggregator.Granted, Calls: 2})
 
-				c, none := f.instances[1].Reserve(t.Context(), x, request(2))
+				c, releaseNone := f.instances[1].Reserve(t.Context(), x, request(2))
 				i.Equal(c, aggregator.Verdict{Outcome: aggregator.Full, Calls: 2})
-				none(aggregator.NoResult, 0)
+				releaseNone(aggregator.NoResult, 0)
 
-				end(aggregator.Answered, 0.5)
+				release(aggregator.Answered, 0.5)
 				synctest.Wait()
 
 				c, _ = f.instances[1].Reserve(t.Context(), x, request(2))
@@ -188,8 +188,8 @@
 
 				for range 3 {
 					b := time.Now()
-					v, end := f.instances[0].Reserve(t.Context(), x, request(2))
-					end(aggregator.Answered, 0.5)
+					v, release := f.instances[0].Reserve(t.Context(), x, request(2))
+					release(aggregator.Answered, 0.5)
 
 					i.Equal(v, aggregator.Verdict{})
 					i.True(time.Since(b) <= tc.wait)
@@ -221,14 +221,14 @@
 				x := registry().Known["t"]
 
 				for n := range 3 {
-					_, end := f.instances[n].Reserve(t.Context(), x, request(9))
-					end(aggregator.Failed, 0.25)
+					_, release := f.instances[n].Reserve(t.Context(), x, request(9))
+					release(aggregator.Failed, 0.25)
 					synctest.Wait()
 				}
 
-				v, none := f.instances[4].Reserve(t.Context(), x, request(9))
+				v, release := f.instances[4].Reserve(t.Context(), x, request(9))
 				i.Equal(v, aggregator.Verdict{Outcome: aggregator.Excluded, Latency: 0.25})
-				none(aggregator.NoResult, 0)
+				release(aggregator.NoResult, 0)
 
 				q := request(9)
 				q.AllowExcluded = true
@@ -270,8 +270,8 @@
 	x := registry().Known["t"]
 
 	f := newFleet(15)
-	v, end := f.instances[0].Reserve(t.Context(), x, request(2))
-	end(aggregator.Answered, 0.5)
+	v, release := f.instances[0].Reserve(t.Context(), x, request(2))
+	release(aggregator.Answered, 0.5)
 	i.Equal(v, aggregator.Verdict{})
 
 	f = newFleet(20)
--- a/internal/selector/backoff.go
+++ b/internal/selector/backoff.go
@@ -6,11 +6,12 @@
 	"github.com/auburntray/auburntray/internal/discoverer"
 )
 
-// StartBackoff starts a backoff of a target that refused a call and requested no calls from this instance for a time.
+// StartBackoff starts a backoff of duration d for a target that refused a call and requested that this instance
+// send it no calls for that time.
 func (s *Selector) StartBackoff(now time.Time, t *discoverer.Target, d time.Duration) {
 	s.suppressor.StartBackoff(now, t.Key(), d)
 
-	if s.state(t).isCurrent(t) {
+	if s.process(t).isCurrent(t) {
 		s.health.setExcluded(Own, TargetBackingOff, t, true)
 	}
 }
@@ -29,8 +30,8 @@
 	}
 }
 
-// GroupBackoff reports whether all targets of a group that the call may be sent to are in a backoff, including those
-// it was sent to before. It returns the time until the first of them accepts calls.
+// GroupBackoff reports whether all targets of a group that the call may be sent to are in a backoff, including
+// those that the call was already sent to. The first result is the time until the first of them accepts calls.
 func (s *Selector) GroupBackoff(now time.Time, r *discoverer.Registry, group string, q Query) (time.Duration, bool) {
 	q.Excluded = nil
 	all := s.candidates(now, r, r.Groups[group], &q)
--- a/internal/selector/backoff_replay_test.go
+++ b/internal/selector/backoff_replay_test.go
@@ -12,17 +12,19 @@
 	"github.com/auburntray/auburntray/internal/selector"
 )
 
-// backoffReplay simulates engines of which a part refuses all calls and requests a backoff each time.
+// backoffReplay simulates a group of engines. Those in refusing refuse every call and request a backoff with each
+// refusal.
 type backoffReplay struct {
 	registry  *discoverer.Registry
 	instances []*selector.Selector
 	refusing  map[string]bool
-	// until is when the backoff between an instance and an engine expires.
-	until map[string]time.Time
+	// backoffEnd is when the backoff between an instance and an engine expires.
+	backoffEnd map[string]time.Time
 	// early counts the calls sent during a backoff, by instance and engine.
 	early map[string]int
-	// served, refusedByEngine and refused count calls. wrongWait counts the refusals whose wait is not within
-	// the backoff.
+	// served counts the answered calls, refusedByEngine the attempts that an engine refused, and refused the calls
+	// for which no engine was left. wrongWait counts those of the latter for which no wait between zero and the
+	// backoff was reported.
 	served, refusedByEngine, refused, wrongWait int
 }
 
@@ -45,7 +47,7 @@
 		}
 
 		k := fmt.Sprint(instance, x.Target.ID)
-		if now.Before(s.until[k]) {
+		if now.Before(s.backoffEnd[k]) {
 			s.early[k]++
 		}
 
@@ -61,7 +63,7 @@
 		}
 
 		s.refusedByEngine++
-		s.until[k] = now.Add(backoff)
+		s.backoffEnd[k] = now.Add(backoff)
 
 		c.StartBackoff(now, x.Target, backoff)
 		c.Finish(now, x.Target, selector.Shed)
@@ -72,7 +74,7 @@
 
 // Guards against calls sent to an engine during its backoff, against refusals while other engines have free
 // slots, and against a reported wait that does not match the backoff.
-func TestReplayOfEnginesThatAskForBackoff(t *testing.T) {
+func TestReplayOfEnginesThatRequestBackoff(t *testing.T) {
 	const (
 		instances = 6
 		engines   = 18
@@ -86,7 +88,7 @@
 			i := is.New(t)
 			r := rand.New(rand.NewPCG(1, 2))
 			s := &backoffReplay{
-				registry: registry(engines, "a", "b"), refusing: make(map[string]bool), until: make(map[string]time.Time),
+				registry: registry(engines, "a", "b"), refusing: make(map[string]bool), backoffEnd: make(map[string]time.Time),
 				early: make(map[string]int),
 			}
 
@@ -109,7 +111,7 @@
 
 			i.Equal(len(s.early), 0)
 			i.Equal(s.wrongWait, 0)
-			// Per instance and engine: three backoffs and the first call.
+			// Per instance and refusing engine: the first call, and one probe call after each of three backoffs.
 			i.True(s.refusedByEngine <= 4*instances*refusing)
 
 			if refusing < engines {
@@ -128,7 +130,7 @@
 
 	i := is.New(t)
 	s := &backoffReplay{
-		registry: registry(1, "a"), refusing: map[string]bool{"t0": true}, until: make(map[string]time.Time),
+		registry: registry(1, "a"), refusing: map[string]bool{"t0": true}, backoffEnd: make(map[string]time.Time),
 		early: make(map[string]int),
 	}
 
--- a/internal/selector/call.go
+++ b/internal/selector/call.go
@@ -8,7 +8,7 @@
 
 // Start counts a call that is sent to a target.
 func (s *Selector) Start(now time.Time, t *discoverer.Target) {
-	p := s.state(t)
+	p := s.process(t)
 	p.running++
 
 	if p.isCurrent(t) {
@@ -16,15 +16,15 @@
 	}
 }
 
-// Decline reverts a choice whose target turned out to be full, with the number of calls there. The call was
-// not sent; the placements recorded for it are removed.
+// Decline reverts a choice whose target turned out to be full, and records the number of calls at the target. The
+// call was not sent; the placements recorded for it are removed.
 func (s *Selector) Decline(now time.Time, x Choice, calls int) {
 	s.revert(now, x)
 	s.ReportLoad(now, x.Target, LoadReport{Running: calls, Slots: x.Target.Slots})
 }
 
-// DeclineUnhealthy reverts a choice whose target the home instance of that target, which sees the calls of all instances,
-// considers unhealthy. The target is excluded for a short time.
+// DeclineUnhealthy reverts a choice whose target was reported as unhealthy by its home instance (as in home node),
+// which sees the calls of all instances. The target is excluded for reportedExclusion.
 func (s *Selector) DeclineUnhealthy(now time.Time, x Choice) {
 	s.revert(now, x)
 	s.health.reportUnhealthy(now, x.Target)
@@ -42,8 +42,8 @@
 }
 
 // RevertPlacements removes the placements recorded for a choice after the call failed before its answer began. The
-// target has most likely not processed the prompt. If it were still considered a holder, the next target would
-// attempt a fetch of the prompt from it that fails, and then compute what others have cached.
+// target has most likely not processed the prompt. If it were still considered a holder, the next target would try
+// to fetch the prompt from it, fail, and then compute the prompt although other targets have it cached.
 func (s *Selector) RevertPlacements(x Choice) {
 	for _, k := range x.fresh {
 		s.placements.remove(k, x.Target.Key())
@@ -57,16 +57,16 @@
 	}
 
 	l := TargetLoad{Target: t.Key().Name(), Calls: r.Running + r.Waiting, At: now}
-	if s.state(t).report(now, l.Calls) {
-		s.loads = append(s.loads, l)
+	if s.process(t).report(now, l.Calls) {
+		s.pendingLoads = append(s.pendingLoads, l)
 	}
 }
 
-// ConfirmPlacements records that the answer to a call has begun, which shows that its target has processed the prompt.
-// Other instances are notified only then: a fetch from a target that is still processing the prompt, or that
-// failed before, would return nothing.
+// ConfirmPlacements records that the answer to a call has begun, which shows that its target has processed the
+// prompt. Other instances are not notified earlier: a fetch from a target that is still processing the prompt, or
+// that failed before, would return nothing.
 func (s *Selector) ConfirmPlacements(now time.Time, x Choice) {
-	if p, ok := s.states[x.Target.Key()]; !ok || p.unlisted {
+	if p, ok := s.processes[x.Target.Key()]; !ok || p.unlisted {
 		return
 	}
 
@@ -75,17 +75,18 @@
 	}
 }
 
-// ObserveLatency records the time until a target's answer began, as a fraction of the time within which it is fully
-// useful.
+// ObserveLatency records the time until a target's answer began, as a fraction of the latency objective: the time
+// within which an answer must begin to be of full use to the caller.
 func (s *Selector) ObserveLatency(now time.Time, t *discoverer.Target, fraction float64) {
-	if s.state(t).isCurrent(t) {
+	if s.process(t).isCurrent(t) {
 		s.health.observeLatency(now, t, fraction)
 	}
 }
 
-// ReportLatency applies the latency of a target that its home instance measured over the calls of all instances.
+// ReportLatency applies the latency of a target that the target's home instance measured over the calls of all
+// instances, as a fraction of the latency objective.
 func (s *Selector) ReportLatency(t *discoverer.Target, fraction float64) {
-	if s.state(t).isCurrent(t) {
+	if s.process(t).isCurrent(t) {
 		s.health.latencies.SetLatency(t.Key(), fraction)
 	}
 }
@@ -93,7 +94,7 @@
 // Finish removes a call from the count of the process that it was sent to and records its outcome. The outcome
 // is ignored if the process is no longer listed or has since moved to another address or group.
 func (s *Selector) Finish(now time.Time, t *discoverer.Target, o Outcome) {
-	p, ok := s.states[t.Key()]
+	p, ok := s.processes[t.Key()]
 	if !ok {
 		return
 	}
@@ -116,17 +117,17 @@
 // ApplyRegistry applies a registry that has changed: it drops the state of all processes that are no longer listed. A
 // target that restarted under its ID is a new process without state.
 //
-// This is the only place where state ends with its process. Any state that remained would make a restarted
-// target receive calls for prompts that it lost, or be excluded for a failure of its predecessor. Later
-// outcomes of calls at the earlier process are ignored because it is not listed.
+// This is the only place where the state of an ended process is dropped. Any state that remained would make a
+// restarted target receive calls for prompts that it lost, or be excluded for a failure of the earlier process.
+// Outcomes of calls at the earlier process that arrive later are ignored because that process is not listed.
 //
-// A process that moved to another address or group keeps its load and its placements but not its health
-// status, since it failed or was unreachable at the other address.
+// A process that moved to another address or group keeps its load and its placements but not its health status,
+// which was observed at the earlier address and relative to the earlier group.
 func (s *Selector) ApplyRegistry(now time.Time, r *discoverer.Registry) {
 	s.listed = r.Processes
 	s.departed.expire(now, r)
 
-	for k, p := range s.states {
+	for k, p := range s.processes {
 		t, ok := r.Processes[k]
 		if !ok {
 			if !p.unlisted && s.health.healthy(now, p.target) {
@@ -150,8 +151,8 @@
 }
 
 // dropIfIdle drops the state of a process that is not listed and has no calls.
-func (s *Selector) dropIfIdle(k discoverer.Key, p *state) {
+func (s *Selector) dropIfIdle(k discoverer.Key, p *processLoad) {
 	if p.unlisted && p.running == 0 {
-		delete(s.states, k)
+		delete(s.processes, k)
 	}
 }
--- a/internal/selector/candidate.go
+++ b/internal/selector/candidate.go
@@ -30,7 +30,7 @@
 
 		x := candidate{target: t, cold: q.cold(now, r, t)}
 
-		if p, ok := s.states[t.Key()]; ok {
+		if p, ok := s.processes[t.Key()]; ok {
 			x.load = p.load(now)
 			x.shed = now.Sub(p.shedAt) < shedAvoidance
 		}
@@ -41,8 +41,8 @@
 	return o
 }
 
-// filter returns the candidates that satisfy a predicate. It copies the list only if one is removed, which is
-// rare.
+// filter returns the candidates that satisfy a predicate. It copies the list only if a candidate is removed, which
+// is rare.
 func filter(l []candidate, f func(candidate) bool) []candidate {
 	i := slices.IndexFunc(l, func(x candidate) bool { return !f(x) })
 	if i < 0 {
@@ -69,16 +69,16 @@
 	return l
 }
 
-// bound returns how many calls a target of a group may have. It is derived from the mean load of the targets
-// that are reachable and of those in evacuated data centres. Targets that are excluded for another reason
-// count too: without them, the others would be filled to a multiple of their own mean instead of the mean of
+// bound returns how many calls a target of a group may have. It is derived from the mean load of the reachable
+// targets and of those in evacuated data centres. Reachable targets that are excluded, for example because they
+// fail, count too: without them, the others would be filled to a multiple of their own mean instead of the mean of
 // the group.
 //
-// If so much of the group is evacuated that all other targets exceed that bound, they are bounded by their own
-// mean, so that prompts remain on their targets.
-func (s Settings) bound(reached, closed []candidate) float64 {
+// If so much of the group is evacuated that all other targets exceed that bound, the bound is a multiple of the
+// mean load of these other targets, so that calls with the same prompt remain at the same target.
+func (s Settings) bound(reached, evacuated []candidate) float64 {
 	n := totalLoad(reached) + 1
-	all := (n + totalLoad(closed)) / float64(len(reached)+len(closed))
+	all := (n + totalLoad(evacuated)) / float64(len(reached)+len(evacuated))
 
 	return max(s.Factor*all, min(s.Factor, minFactor)*n/float64(len(reached))) + s.Slack
 }
@@ -92,11 +92,11 @@
 	return n
 }
 
-// pickBounded returns the first candidate in the rendezvous order of the key whose load is within the bound:
-// first among those that have the prompt cached, then among all. The order is the same at every instance, so
-// calls that exceed the bound of one target reach the same next target, which has the prompt cached from
-// earlier ones. If no candidate is within the bound, it returns the least loaded; of several, the first in the
-// order.
+// pickBounded returns the first candidate in the rendezvous order of the key whose load is within the bound: first
+// among those that have the prompt cached (the holders), then among all. The order is the same at every instance,
+// so calls that exceed the bound of one target reach the same next target, which has the prompt cached from earlier
+// calls. If no candidate is within the bound, pickBounded returns the least loaded one, and of several equally
+// loaded ones the first in the order.
 func pickBounded(l []candidate, bound float64, key uint64, holders []discoverer.Key) candidate {
 	var o, h, b ranked
 
@@ -137,12 +137,13 @@
 	return o.target
 }
 
-// spreadFactor is the factor by which the set of eligible targets grows with each target found full. A smaller
-// one lets calls for a hot prompt meet at full targets; a larger one has more targets compute the prompt than
-// necessary.
+// spreadFactor is the factor by which the number of targets that pickSpread draws from grows with each target found
+// full. A smaller factor sends calls with a frequent prompt to the same full targets; with a larger one, more
+// targets than necessary compute the prompt.
 const spreadFactor = 3
 
-// pickForPrompt returns the candidate for a call with a prompt. holders are known to have the prompt cached.
+// pickForPrompt returns the candidate for a call with a prompt. The holders are the targets known to have the
+// prompt cached.
 func pickForPrompt(l []candidate, bound float64, holders []discoverer.Key, q Query) candidate {
 	if q.Declined > 1 {
 		return pickSpread(l, bound, holders, q)
@@ -155,8 +156,8 @@
 // the first targets in the rendezvous order of the key; their number grows by spreadFactor with each target
 // found full.
 //
-// A prompt that a tenth of all calls share fills ten targets and more. If all calls tried them one by one in
-// the same order, each would request a slot at every full target first, or be sent to a full one.
+// A prompt that a tenth of all calls share fills ten or more targets. If all calls tried the targets one by one in
+// the same order, each call would first request a slot at every full target, or be sent to a full target.
 func pickSpread(l []candidate, bound float64, holders []discoverer.Key, q Query) candidate {
 	k := q.Prefixes[0].Key
 	r := make([]ranked, 0, len(l))
@@ -199,8 +200,9 @@
 }
 
 // pickLeastLoaded returns the candidate with the least load per slot. Candidates outside the given data centre
-// count with penalty added to their load. The call's draw breaks ties: if the first of them were selected,
-// the last one would idle while the others have free slots.
+// count with penalty added to their load. Ties are broken by draw, a number derived from the call: if the first of
+// several equally loaded candidates were always selected, the last one would receive no calls while the others have
+// free slots.
 func pickLeastLoaded(l []candidate, centre string, penalty float64, draw uint64) candidate {
 	var o candidate
 
--- a/internal/selector/cold.go
+++ b/internal/selector/cold.go
@@ -8,8 +8,8 @@
 	"github.com/auburntray/auburntray/internal/discoverer"
 )
 
-// cold reports whether a target can only serve a low rate of calls: because its entry states so, or because its
-// data centre was reopened recently and the target's updated entry may not have been read yet.
+// cold reports whether a target can only serve a low rate of calls: because its registry entry states so, or
+// because its data centre was reopened recently and the target's updated entry may not have been read yet.
 func (q *Query) cold(now time.Time, r *discoverer.Registry, t *discoverer.Target) bool {
 	if q.ColdRate <= 0 {
 		return false
--- a/internal/selector/cold_replay_test.go
+++ b/internal/selector/cold_replay_test.go
@@ -12,11 +12,12 @@
 	"github.com/auburntray/auburntray/internal/throttler"
 )
 
-// The load that cold targets can serve, and the load of the surge as a multiple of the usual one.
+// How long engines are cold, the calls a second that a cold engine can serve, the maximum number of calls that may
+// reach one within a second, and the rate of the surge as a multiple of usualRate.
 const (
 	coldFor  = 3 * time.Second
 	coldRate = 18
-	maxCold  = 32 // With a coverage of 1.5 and a slack of 5.
+	maxCold  = 32 // coldRate times the coverage of 1.5, plus the slack of 5.
 	surge    = 2.25
 )
 
@@ -26,11 +27,12 @@
 	fleet    throttler.Fleet
 }
 
-// fleetOf returns instances in groups of the given sizes. Each instance only knows the others of its group.
-func fleetOf(most int, views ...int) []*instance {
+// fleetOf returns instances in groups of the given sizes. Each instance only knows the others of its group, and
+// that there were at most maxInstances before.
+func fleetOf(maxInstances int, sizes ...int) []*instance {
 	var o []*instance
 
-	for _, n := range views {
+	for _, n := range sizes {
 		var live []uint64
 		for range n {
 			live = append(live, uint64(len(o)+len(live)))
@@ -39,9 +41,9 @@
 		for _, id := range live {
 			x := &instance{
 				selector: selector.New(selector.DefaultSettings()),
-				fleet:    throttler.Fleet{Self: id, Live: live, MaxInstances: most, Settled: true},
+				fleet:    throttler.Fleet{Self: id, Live: live, MaxInstances: maxInstances, Settled: true},
 			}
-			x.selector.Throttle(throttler.Settings{Coverage: 1.5, Slack: 5}, func() throttler.Fleet { return x.fleet })
+			x.selector.ConfigureThrottling(throttler.Settings{Coverage: 1.5, Slack: 5}, func() throttler.Fleet { return x.fleet })
 			o = append(o, x)
 		}
 	}
@@ -54,7 +56,7 @@
 func TestReplayOfSurgeAtColdTargets(t *testing.T) {
 	for name, x := range map[string]struct {
 		fleet []*instance
-		// every n-th engine is cold; 1 makes all of them cold.
+		// every is n if every n-th engine is cold; 1 makes all engines cold.
 		every int
 		// hot is the fraction of the calls that share one prompt.
 		hot float64
@@ -67,13 +69,13 @@
 		"380":                            {fleet: fleetOf(380, 380), every: 2, served: 1},
 		"8, partitioned":                 {fleet: fleetOf(8, 3, 5), every: 2, served: 1},
 		"85, partitioned":                {fleet: fleetOf(85, 20, 65), every: 2, served: 1},
-		"85, one prompt in four is hot":  {fleet: fleetOf(85, 85), every: 2, hot: 0.25, served: 1},
-		"380, all cold, one prompt hot":  {fleet: fleetOf(380, 380), every: 1, hot: 0.25, served: 0.2},
+		"85, one call in four is hot":    {fleet: fleetOf(85, 85), every: 2, hot: 0.25, served: 1},
+		"380, all cold, one in four hot": {fleet: fleetOf(380, 380), every: 1, hot: 0.25, served: 0.2},
 		"8, all cold":                    {fleet: fleetOf(8, 8), every: 1, served: 0.5},
 		"85, all cold":                   {fleet: fleetOf(85, 85), every: 1, served: 0.5},
 		"85, a quarter cold":             {fleet: fleetOf(85, 85), every: 4, served: 1},
-		"85, half of them newly started": {fleet: withNewcomers(fleetOf(85, 85)), every: 2, served: 1},
-		"85, all of them newly started":  {fleet: withNewcomers(fleetOf(85, 85), fleetOf(85, 85)...), every: 2, served: 1},
+		"85, half of them newly started": {fleet: withNewlyStarted(fleetOf(85, 85)), every: 2, served: 1},
+		"85, all of them newly started":  {fleet: withNewlyStarted(fleetOf(85, 85), fleetOf(85, 85)...), every: 2, served: 1},
 		"8 of 85 remain, each isolated":  {fleet: fleetOf(85, 1, 1, 1, 1, 1, 1, 1, 1), every: 1},
 		"100 where 85 were known before": {fleet: fleetOf(85, 100), every: 2, served: 1},
 	} {
@@ -87,8 +89,8 @@
 	}
 }
 
-// withNewcomers marks every second instance as just started, or all of them if any more are given.
-func withNewcomers(l []*instance, more ...*instance) []*instance {
+// withNewlyStarted marks every second instance of a list as just started, or every instance if any more are given.
+func withNewlyStarted(l []*instance, more ...*instance) []*instance {
 	for k, x := range l {
 		if k%2 == 0 || len(more) > 0 {
 			x.fleet = throttler.Fleet{Self: x.fleet.Self, Live: []uint64{x.fleet.Self}, MaxInstances: 1}
@@ -182,14 +184,14 @@
 	return highest
 }
 
-// Guards against an infinite bound, the mean over no targets, when no target of a group with cold ones is
-// reachable: calls would request slots from home instances without end.
+// Guards against an infinite bound, computed as a mean over no targets, when a group has cold targets and none of
+// its targets is reachable: calls would request slots from home instances without end.
 func TestBoundWithoutReachableTargets(t *testing.T) {
 	i := is.New(t)
 	now := time.Unix(1000, 0)
 	d := discoverer.New(discoverer.DefaultSettings())
 	s := selector.New(selector.DefaultSettings())
-	s.Throttle(throttler.Settings{Coverage: 1}, func() throttler.Fleet { return throttler.Fleet{} })
+	s.ConfigureThrottling(throttler.Settings{Coverage: 1}, func() throttler.Fleet { return throttler.Fleet{} })
 
 	for id, cold := range map[string]time.Duration{"warm": 0, "cold": time.Minute} {
 		d.Set(discoverer.Target{ID: id, Group: group, DataCentre: "a", Slots: 8, Cold: cold}.WithReadTime(now, nil))
@@ -205,7 +207,7 @@
 	q.ColdRate, q.ColdFor = coldRate, coldFor
 
 	o, ok := s.Choose(now, r, group, q)
-	i.True(ok) // One call probes whether that has changed.
+	i.True(ok) // One call is sent to find out whether a target is reachable again.
 	i.Equal(o.Target.ID, "warm")
 	i.True(o.Bound < 10)
 }
--- a/internal/selector/decline_test.go
+++ b/internal/selector/decline_test.go
@@ -9,9 +9,9 @@
 	"github.com/auburntray/auburntray/internal/selector"
 )
 
-// Guards against traces of a call that was not sent because its target was full: the target must not be
-// considered a holder of the prompt, other instances must not be notified of it, and no running call may
-// remain counted. The target is known to be full, and the next call is sent elsewhere.
+// Guards against state that remains of a call that was not sent because its target was full: the target must not be
+// considered a holder of the prompt, other instances must not be notified of it, and no running call may remain
+// counted. The target is known to be full, and the next call is sent elsewhere.
 func TestDeclinedChoiceIsReverted(t *testing.T) {
 	i := is.New(t)
 	r := registry(9, "a")
@@ -48,7 +48,7 @@
 }
 
 // Guards against a prompt of a few thousand parts being computed twice although a target has it cached: a call
-// failed at once at another target, and the next target tried to fetch the prompt from that one, since the
+// failed at once at another target, and the next target tried to fetch the prompt from the failed one, since the
 // prompt was last sent there.
 func TestFailedTargetIsNoSource(t *testing.T) {
 	i := is.New(t)
@@ -62,13 +62,13 @@
 	q := query(1)
 	q.Excluded = []string{x.Target.ID}
 	y := choose(s, now, r, q)
-	i.Equal(y.Source, x.Target)
+	i.Equal(y.FetchFrom, x.Target)
 	s.Finish(now, y.Target, selector.Failed)
 	s.RevertPlacements(y)
 
 	q.Excluded = []string{x.Target.ID, y.Target.ID}
 	z := choose(s, now, r, q)
-	i.Equal(z.Source, x.Target)
+	i.Equal(z.FetchFrom, x.Target)
 
 	// A target that had the prompt cached before remains a holder.
 	q.Excluded = []string{y.Target.ID, z.Target.ID}
@@ -79,9 +79,9 @@
 	i.True(choose(s, now, r, q).Cached)
 }
 
-// A prompt that a tenth of all calls share fills one target after the other. Guards against all calls that
-// found two targets full trying the same third one: they spread over the next ones in the rendezvous order,
-// over more with each full target.
+// A prompt that a tenth of all calls share fills one target after the other. Guards against calls that found two
+// targets full and then all try the same third one. Such calls must spread over the next targets in the rendezvous
+// order, and over more of them with each target found full.
 func TestCallsSpreadAfterFullTargets(t *testing.T) {
 	for name, tc := range map[string]struct {
 		declined int
--- a/internal/selector/departure.go
+++ b/internal/selector/departure.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// departedFetchWindow is how long prompts may be fetched from a process after its removal from the
-	// registry. One that shuts down as planned serves for two more seconds, and for another two its address is
-	// not reused.
+	// departedFetchWindow is how long prompts may be fetched from a process after its removal from the registry. A
+	// process that shuts down as planned serves for two more seconds, and its address is not reused for another
+	// two.
 	departedFetchWindow = 4 * time.Second
 	// maxReportAge bounds the age of the last load report of a process that shuts down as planned. A process
 	// that crashed stays in the registry for three more heartbeats of about a second each, so its last report
@@ -19,8 +19,8 @@
 
 // departure is a process that was removed from the registry.
 type departure struct {
-	target *discoverer.Target
-	at     time.Time
+	target    *discoverer.Target
+	removedAt time.Time
 }
 
 // departures are the processes that were recently removed from the registry and are assumed to be still
@@ -30,25 +30,25 @@
 // would compute the whole prompts again while the target that has them cached is still running.
 type departures map[discoverer.Key]departure
 
-// add records a process that was removed from the registry, with the time of its last load report. A process
-// whose target is listed with another start has ended and is not recorded.
+// add records a process that was removed from the registry, with the time of its last load report. If the target is
+// listed with another start time, the process has ended and is not recorded.
 func (l departures) add(now time.Time, r *discoverer.Registry, t *discoverer.Target, reportedAt time.Time) {
 	if r.Known[t.ID] == nil && now.Sub(reportedAt) < maxReportAge {
-		l[t.Key()] = departure{target: t, at: now}
+		l[t.Key()] = departure{target: t, removedAt: now}
 	}
 }
 
-// source returns the target of a recently removed process; the second result is false if it is none.
+// source returns the target of a recently removed process, and false if the process was not removed recently.
 func (l departures) source(now time.Time, k discoverer.Key) (*discoverer.Target, bool) {
 	x, ok := l[k]
 
-	return x.target, ok && now.Sub(x.at) < departedFetchWindow
+	return x.target, ok && now.Sub(x.removedAt) < departedFetchWindow
 }
 
 // expire drops the processes whose targets are listed again or whose departedFetchWindow is over.
 func (l departures) expire(now time.Time, r *discoverer.Registry) {
 	for k, x := range l {
-		if r.Known[x.target.ID] != nil || now.Sub(x.at) >= departedFetchWindow {
+		if r.Known[x.target.ID] != nil || now.Sub(x.removedAt) >= departedFetchWindow {
 			delete(l, k)
 		}
 	}
--- a/internal/selector/departure_test.go
+++ b/internal/selector/departure_test.go
@@ -18,8 +18,8 @@
 	const reported = time.Hour // The time of the last load report from the target that is removed.
 
 	for name, x := range map[string]struct {
-		// removed is the time from the last load report to the removal from the registry, and requested the
-		// time from there to a call with its prompt.
+		// removed is the time from the last load report to the removal from the registry, and requested the time
+		// from the removal to a call with a prompt that the removed target has cached.
 		removed, requested time.Duration
 		// change is a further change of the registry.
 		change func(d *discoverer.Discoverer)
@@ -66,7 +66,7 @@
 
 			o = choose(s, now.Add(x.requested), d.Registry(), query(7))
 			i.Equal(o.Target.ID, "new")
-			i.Equal(o.Source != nil, x.want)
+			i.Equal(o.FetchFrom != nil, x.want)
 		})
 	}
 }
--- a/internal/selector/evacuation_replay_test.go
+++ b/internal/selector/evacuation_replay_test.go
@@ -12,15 +12,15 @@
 	"github.com/auburntray/auburntray/internal/selector"
 )
 
-// The load of the replays: engines, their prompts, and calls per second.
+// The sizes of the replays: the number of engines, the number of prompts, and the usual number of calls per second.
 const (
 	engines   = 60
 	prompts   = 900
 	usualRate = 564
 )
 
-// enginesOf returns a registry of engines in four data centres. Every n-th has just started and is cold for
-// the given time.
+// enginesOf returns a registry of engines in four data centres. Engines whose index is a multiple of every have
+// just started and are cold for the given time.
 func enginesOf(now time.Time, every int, cold time.Duration) *discoverer.Registry {
 	d := discoverer.New(discoverer.DefaultSettings())
 
@@ -36,10 +36,11 @@
 	return d.Registry()
 }
 
-// Guards against overload and lost prompts when a data centre is evacuated at twice the usual load: its calls
-// are assigned to the other targets within their bound, and the prompts are fetched from the evacuated ones.
+// Guards against overload and lost prompts when a data centre is evacuated at twice the usual load: its calls must
+// be assigned to the targets of other data centres within their bound, and these must fetch the prompts that move,
+// also from evacuated targets.
 func TestReplayOfEvacuationDuringSurge(t *testing.T) {
-	for name, hot := range map[string]float64{"no hot prompt": 0, "one prompt in four is hot": 0.25} {
+	for name, hot := range map[string]float64{"no hot prompt": 0, "one call in four has the hot prompt": 0.25} {
 		t.Run(name, func(t *testing.T) { replayEvacuation(t, hot) })
 	}
 }
@@ -66,9 +67,9 @@
 
 	for k := range 6 * usualRate * 2 {
 		now := start.Add(time.Duration(k) * time.Second / (usualRate * 2))
-		closed := k >= 3*usualRate*2
+		evacuated := k >= 3*usualRate*2
 
-		if closed && len(r.Closed) == 0 {
+		if evacuated && len(r.Closed) == 0 {
 			r = r.WithEvacuated(func(centre string) bool { return centre == "dc1" }, nil)
 			s.ApplyRegistry(now, r)
 		}
@@ -89,7 +90,7 @@
 		calls = append(calls, call{o.Target, now.Add(time.Second)})
 		running[o.Target.ID]++
 
-		if !closed {
+		if !evacuated {
 			continue
 		}
 
@@ -103,11 +104,11 @@
 		if !o.Cached {
 			moved++
 
-			if o.Source != nil {
+			if o.FetchFrom != nil {
 				fetched++
 			}
 
-			if o.Source != nil && o.Source.DataCentre == "dc1" {
+			if o.FetchFrom != nil && o.FetchFrom.DataCentre == "dc1" {
 				fromEvacuated++
 			}
 		}
--- a/internal/selector/exclusion.go
+++ b/internal/selector/exclusion.go
@@ -36,7 +36,7 @@
 const (
 	// Own is the outcome of a call of this instance.
 	Own Source = "own"
-	// Peer is a notification from another instance. It has notified all instances, so the change is not
+	// Peer is a notification from another instance. That instance has notified all others, so the change is not
 	// forwarded.
 	Peer Source = "peer"
 )
@@ -60,7 +60,7 @@
 	centre  string
 }
 
-// exclusionOf returns the exclusion of a target, or of its data centre if the cause applies to that.
+// exclusionOf returns the exclusion of a target, or of its data centre if the cause applies to data centres.
 func exclusionOf(c Cause, t *discoverer.Target) exclusion {
 	if c == CentreUnreachable {
 		return exclusion{cause: c, centre: t.DataCentre}
@@ -69,8 +69,8 @@
 	return exclusion{cause: c, process: t.Key()}
 }
 
-// setExcluded records whether a target, or its data centre, is excluded for a cause. It does nothing if that
-// is unchanged.
+// setExcluded records whether a target, or its data centre, is excluded for a cause. It does nothing if this is
+// unchanged.
 func (h *health) setExcluded(s Source, c Cause, t *discoverer.Target, excluded bool) {
 	k := exclusionOf(c, t)
 	if h.excluded[k] == excluded {
--- a/internal/selector/health.go
+++ b/internal/selector/health.go
@@ -15,17 +15,17 @@
 	// goneExclusion is how long a target is excluded whose address belongs to another process. It exceeds the
 	// time until the entry expires in the registry: three heartbeats of about a second.
 	goneExclusion = 10 * time.Second
-	// reportedExclusion is how long a home instance's report that a target is unhealthy applies before the
-	// home instance receives the next request.
+	// reportedExclusion is how long a target is excluded after its home instance reported it as unhealthy. The next
+	// call to the target after that requests a slot from the home instance again.
 	reportedExclusion = 300 * time.Millisecond
-	// lastResortInterval is the interval at which a call is spent on a group without reachable targets. It
-	// bounds how late the end of a network partition is noticed.
+	// lastResortInterval is the interval at which a call is tried at a group without reachable targets. It bounds
+	// how late the end of a network partition is noticed.
 	lastResortInterval = 100 * time.Millisecond
 )
 
 // health derives the health status of targets from their answers. It is not safe for concurrent use.
 type health struct {
-	// targets and centres track what is unreachable.
+	// targets and centres track the unreachable targets and data centres.
 	targets *ejector.Ejector[discoverer.Key]
 	centres *ejector.Ejector[uint32]
 	// failing tracks targets that are reachable and fail.
@@ -35,7 +35,7 @@
 	latencies *evaluator.Evaluator[discoverer.Key]
 	// reportedAt is when a target was last reported as unhealthy by its home instance.
 	reportedAt map[discoverer.Key]time.Time
-	// lastResorts is when a call was last spent on a group without reachable targets.
+	// lastResorts is when a call was last tried at a group without reachable targets, by group.
 	lastResorts map[string]time.Time
 	// excluded holds the current exclusions, and changes those that have not been returned yet.
 	excluded map[exclusion]bool
@@ -44,15 +44,15 @@
 
 func newHealth() *health {
 	return &health{
-		// A single failed connection is sufficient, since other targets are a millisecond away. A retry costs
-		// a few milliseconds, so the exclusions are short.
+		// A single failed connection excludes a target, since a call reaches another target within a millisecond. A
+		// failed probe call costs a few milliseconds for its retry, so the exclusions are short.
 		targets: ejector.New[discoverer.Key](ejector.Settings{Failures: 1, Base: 500 * time.Millisecond, Max: 4 * time.Second, PanicThreshold: 1}),
-		// In a partitioned data centre, each target would cost a call a dial time-out. Two consecutive
-		// failures exclude the whole data centre.
+		// Each target of a data centre beyond a network partition would cost a call a dial time-out. Two
+		// consecutive failures exclude the whole data centre.
 		centres: ejector.New[uint32](ejector.Settings{Failures: 2, Base: 500 * time.Millisecond, Max: 2 * time.Second, PanicThreshold: 1}),
 		failing: ejector.New[discoverer.Key](ejector.Settings{Failures: 3, Base: time.Second, Max: maxFailingExclusion, PanicThreshold: 0.5}),
-		// A replaced process does not return, and its entry expires seconds later. It is retried in case the
-		// answer was wrong.
+		// A replaced process does not return, and its entry expires seconds later. After goneExclusion it is tried
+		// again, in case the answer that showed its replacement was wrong.
 		gone:        ejector.New[discoverer.Key](ejector.Settings{Failures: 1, Base: goneExclusion, Max: goneExclusion, PanicThreshold: 1}),
 		latencies:   evaluator.New[discoverer.Key](),
 		reportedAt:  make(map[discoverer.Key]time.Time),
@@ -61,9 +61,10 @@
 	}
 }
 
-// usable returns the reachable candidates of a group and those of them that may be assigned a call; both are
-// empty if none is reachable. usual is the median latency of the candidates that do not fail.
-func (h *health) usable(now time.Time, group string, l []candidate) (reached, usable []candidate, usual float64) {
+// usable returns the reachable candidates of a group and those of them that may be assigned a call; both are empty
+// if none is reachable, except when lastResort returns all. median is the median latency of the reachable
+// candidates that do not fail.
+func (h *health) usable(now time.Time, group string, l []candidate) (reached, usable []candidate, median float64) {
 	r := h.reachable(now, l)
 	if len(r) == 0 {
 		r = h.lastResort(now, group, l)
@@ -78,9 +79,9 @@
 
 	r = filterOrAll(r, func(x candidate) bool { return !h.reportedUnhealthy(now, x.target) })
 
-	usual = h.latencies.MedianLatency(keys(r))
+	median = h.latencies.MedianLatency(keys(r))
 
-	return reached, filterOrAll(r, func(x candidate) bool { return !h.slow(now, x.target, usual) }), usual
+	return reached, filterOrAll(r, func(x candidate) bool { return !h.slow(now, x.target, median) }), median
 }
 
 func (h *health) reachable(now time.Time, l []candidate) []candidate {
@@ -99,7 +100,7 @@
 	h.reportedAt[t.Key()] = now
 }
 
-// panicMode reports whether so many candidates fail that none is excluded for it.
+// panicMode reports whether so many candidates fail that none is excluded for failing.
 func (h *health) panicMode(now time.Time, l []candidate) bool {
 	return h.failing.PanicMode(now, keys(l))
 }
@@ -113,22 +114,22 @@
 	return o
 }
 
-// slow reports whether a target's answers begin much later than usual and it recently had a probe call. It
-// also records the change of health status.
-func (h *health) slow(now time.Time, t *discoverer.Target, usual float64) bool {
+// slow reports whether a target is to be avoided: its answers begin much later than the median, and a probe call
+// was sent to it recently. If none was, the next call is the probe call. It also records a change of the TargetSlow
+// status.
+func (h *health) slow(now time.Time, t *discoverer.Target, median float64) bool {
 	n := t.Key()
 	if h.latencies.Latency(n) == 0 {
 		return false
 	}
 
-	x := h.latencies.Slow(n, usual)
+	x := h.latencies.Slow(n, median)
 	h.setExcluded(Own, TargetSlow, t, x)
 
 	return x && h.latencies.ProbedRecently(now, n)
 }
 
-// observeLatency records how long an answer took to begin, as a fraction of the time within which it is fully
-// useful.
+// observeLatency records how long an answer took to begin, as a fraction of the latency objective.
 func (h *health) observeLatency(now time.Time, t *discoverer.Target, fraction float64) {
 	n := t.Key()
 	h.latencies.RecordAnswer(n, fraction)
@@ -141,11 +142,11 @@
 	}
 }
 
-// lastResort returns the targets of a group of which none is reachable: all of them for one call per
-// lastResortInterval, to find out whether that has changed, and none for other calls.
+// lastResort returns the targets that a call may try in a group without reachable targets: all of them for one call
+// per lastResortInterval, to find out whether one is reachable again, and none for other calls.
 //
-// In a partitioned data centre, every call would otherwise dial each target in turn and be refused after a
-// third of a second, when its caller could long have tried another data centre.
+// Otherwise an instance in a partitioned data centre would dial each target in turn for every call, and refuse the
+// call after a third of a second. A caller that is refused at once can try another data centre earlier.
 func (h *health) lastResort(now time.Time, group string, l []candidate) []candidate {
 	if t, ok := h.lastResorts[group]; len(l) == 0 || ok && now.Sub(t) < lastResortInterval {
 		return nil
@@ -163,7 +164,8 @@
 	return h.isReachable(now, t) && !h.failing.Excluded(now, n) && !h.gone.Excluded(now, n)
 }
 
-// failureSigns counts the signs that a target itself accepts no calls.
+// failureSigns counts the causes for which a target itself, not its data centre, is excluded: it is unreachable,
+// gone or failing.
 func (h *health) failureSigns(now time.Time, t *discoverer.Target) int {
 	o := 0
 
@@ -195,8 +197,8 @@
 		h.targets.RecordResult(now, n, false)
 		h.centres.RecordResult(now, c, false)
 	case Crashed:
-		// A crash is no sign of a network partition. Counted as one, targets that crash one after the other
-		// would exclude the healthy ones of their data centre for half a second each time.
+		// A crash is no sign of a network partition. If it counted as one, targets that crash one after the other
+		// would cause the exclusion of the healthy targets of their data centre for half a second each time.
 		h.targets.RecordResult(now, n, false)
 		h.centres.RecordResult(now, c, true)
 	case Failed:
--- a/internal/selector/placement.go
+++ b/internal/selector/placement.go
@@ -12,18 +12,18 @@
 const (
 	// maxPrefixes bounds the number of prompt prefixes that are remembered. An entry takes about 200 bytes.
 	maxPrefixes = 1 << 15
-	// maxHolders bounds the targets remembered for a prefix. If more have it cached, any one of these is
-	// sufficient.
+	// maxHolders bounds the targets remembered for a prefix. If more targets have the prefix cached, those
+	// remembered are sufficient.
 	maxHolders = 4
 	// holderTTL is how long a target is assumed to have a prefix cached after its last use. Engines evict the
 	// least recently used prefixes after tens of seconds or later.
 	holderTTL = time.Minute
-	// renotifyInterval is the age of the last notification of a placement after which other instances are
-	// notified that it is still used.
+	// renotifyInterval is the minimum time between two notifications of the same placement. Other instances are
+	// notified again because they drop a placement that is not used for holderTTL.
 	renotifyInterval = 20 * time.Second
 )
 
-// Placement is a placement: a target has a prompt prefix cached.
+// Placement records that a target has a prompt prefix cached.
 type Placement struct {
 	Key uint64
 	// Target is the short name of the process.
@@ -117,8 +117,8 @@
 	return &l[0], known
 }
 
-// drain returns the placements of which other instances have not been notified and clears them.
-func (p *placements) drain() []Placement {
+// takePending returns the placements of which other instances have not been notified and clears them.
+func (p *placements) takePending() []Placement {
 	o := p.pending
 	p.pending = nil
 
--- a/internal/selector/process_test.go
+++ b/internal/selector/process_test.go
@@ -58,7 +58,7 @@
 func choices(c *selector.Selector, now time.Time, r *discoverer.Registry) []string {
 	var o []string
 
-	for _, v := range c.Views(now, r) {
+	for _, v := range c.TargetStates(now, r) {
 		o = append(o, fmt.Sprintf("%s load %v excluded %v", v.Target.ID, v.Load, v.Excluded))
 	}
 
@@ -66,8 +66,8 @@
 		x, ok := c.Choose(now, r, group, query(n))
 		s := ""
 
-		if x.Source != nil {
-			s = x.Source.ID
+		if x.FetchFrom != nil {
+			s = x.FetchFrom.ID
 		}
 
 		if ok {
@@ -226,7 +226,7 @@
 			observe(s, now, d.Registry(), old)
 
 			for range 5 {
-				is.Equal(s.Views(now, d.Registry()), newSelector().Views(now, d.Registry()))
+				is.Equal(s.TargetStates(now, d.Registry()), newSelector().TargetStates(now, d.Registry()))
 				s.Finish(now, old, selector.Failed)
 			}
 
@@ -236,12 +236,12 @@
 	}
 }
 
-// Probe dials look for the end of a network partition. Guards against dials that start and fail after their
-// targets were removed from the registry: two of them excluded the data centre, and the state of the targets
+// Probe dials are sent to detect the end of a network partition. Guards against dials that start and fail after
+// their targets were removed from the registry: two of them excluded the data centre, and the state of the targets
 // remained until the next change of the registry.
 func TestCallsToUnlistedProcessAreIgnored(t *testing.T) {
 	for name, o := range map[string]selector.Outcome{
-		"unreachable": selector.Unreachable, "bad": selector.Failed, "gone": selector.Gone, "shed": selector.Shed, "good": selector.Answered,
+		"unreachable": selector.Unreachable, "failed": selector.Failed, "gone": selector.Gone, "shed": selector.Shed, "answered": selector.Answered,
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -267,7 +267,7 @@
 			// The state does not return with the process either.
 			d.Set(entry("t0", 0))
 			s.ApplyRegistry(now, d.Registry())
-			is.Equal(s.Views(now, d.Registry()), newSelector().Views(now, d.Registry()))
+			is.Equal(s.TargetStates(now, d.Registry()), newSelector().TargetStates(now, d.Registry()))
 
 			x, ok := s.Choose(now, d.Registry(), group, query(1000))
 			is.True(ok)
@@ -344,8 +344,8 @@
 	}
 }
 
-// A process is listed in another group. Its health status is reset too, since it was slow by the measure of
-// the earlier group.
+// A process is listed in another group. Its health status is reset too, since it was slow relative to the earlier
+// group.
 func TestProcessMovesToAnotherGroup(t *testing.T) {
 	for name, observe := range observations() {
 		t.Run(name, func(t *testing.T) {
@@ -358,17 +358,17 @@
 			s.Start(now, old)
 			observe(s, now, d.Registry(), old)
 
-			b := s.Views(now, d.Registry())[0].Load
+			b := s.TargetStates(now, d.Registry())[0].Load
 			x := entry("t0", 0)
 			x.Group = "others"
 			d.Set(x)
 			s.ApplyRegistry(now, d.Registry())
 
-			v := s.Views(now, d.Registry())[0]
-			is.Equal(v, selector.View{Target: d.Registry().Known["t0"], Load: b})
+			v := s.TargetStates(now, d.Registry())[0]
+			is.Equal(v, selector.TargetState{Target: d.Registry().Known["t0"], Load: b})
 
 			s.Finish(now, old, selector.Failed)
-			is.Equal(s.Views(now, d.Registry())[0].Load, b-1)
+			is.Equal(s.TargetStates(now, d.Registry())[0].Load, b-1)
 
 			// A call without a prompt treats it like a target without state.
 			y, ok := s.Choose(now.Add(time.Second), d.Registry(), "others", selector.Query{})
@@ -379,7 +379,8 @@
 }
 
 // The entry of a process expires because its heartbeats are late, and the process is listed again later. Guards
-// against running calls that are no longer counted, or whose ends are subtracted from the count of others.
+// against running calls that are no longer counted, or that are subtracted from the count of other calls when they
+// finish.
 func TestCallsAreCountedAcrossAbsence(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -397,13 +398,13 @@
 
 	d.Set(entry("t0", 0))
 	s.ApplyRegistry(now, d.Registry())
-	is.Equal(s.Views(now, d.Registry())[0].Load, 2.0)
+	is.Equal(s.TargetStates(now, d.Registry())[0].Load, 2.0)
 
 	for range 2 {
 		s.Finish(now, old, selector.Answered)
 	}
 
-	is.Equal(s.Views(now, d.Registry())[0].Load, 0.0)
+	is.Equal(s.TargetStates(now, d.Registry())[0].Load, 0.0)
 }
 
 // Two targets share a short name. Guards against state of one that is applied to the other: an update from
@@ -430,7 +431,7 @@
 			observe(s, now, r, r.Known[a])
 
 			// Only b is queried, and only a was observed.
-			is.Equal(s.Views(now, r)[1], f.Views(now, r)[1])
+			is.Equal(s.TargetStates(now, r)[1], f.TargetStates(now, r)[1])
 
 			for n := range uint64(60) {
 				q := selector.Query{Prefixes: query(n).Prefixes, Excluded: []string{a}}
@@ -441,7 +442,7 @@
 				is.Equal(x.Usable, y.Usable)
 
 				if name == "placements from a peer" {
-					is.Equal(x.Source, nil) // Neither target is considered a holder.
+					is.Equal(x.FetchFrom, nil) // Neither target is considered a holder.
 				}
 			}
 		})
--- a/internal/selector/selector.go
+++ b/internal/selector/selector.go
@@ -36,8 +36,8 @@
 	// factorMargin is the fraction of the permitted multiple up to which targets are filled. It leaves a
 	// margin because load reports are slightly out of date.
 	factorMargin = 0.85
-	// minFactor leaves headroom above the mean; without it calls would be declined by one target after
-	// another.
+	// minFactor is the smallest multiple of the mean load to which targets are filled. Without headroom above the
+	// mean, calls would be declined by one target after another.
 	minFactor = 1.1
 )
 
@@ -82,7 +82,8 @@
 	ColdFor  time.Duration
 }
 
-// SetThrottle replaces the settings of the bound on calls to cold targets.
+// SetThrottle replaces the settings of the bound on calls to cold targets. The calls counted so far and the source
+// of the state of all instances remain.
 func (s *Selector) SetThrottle(t throttler.Settings) {
 	s.throttler.Set(t)
 }
@@ -95,9 +96,9 @@
 // Choice is the target selected for a call.
 type Choice struct {
 	Target *discoverer.Target
-	// Source is a target that has the prompt cached if Target has not; nil if Target has it, or if none is
-	// known.
-	Source *discoverer.Target
+	// FetchFrom is the target from which Target may fetch the prompt, or its longest prefix cached anywhere. It is nil
+	// if Target has that cached itself, or if there is no such target.
+	FetchFrom *discoverer.Target
 	// Load is the estimated number of calls at Target, Bound the number it may have, and Usable the number of
 	// targets there were to select from.
 	Load, Bound float64
@@ -108,10 +109,10 @@
 	// is cold too; its response time then does not indicate how it performs once warm.
 	Cold      int
 	Throttled bool
-	// BackingOff is the number of targets that were skipped during a backoff.
+	// BackingOff is the number of targets that were skipped because they are in a backoff.
 	BackingOff int
-	// MedianLatency is the median latency of the targets of the group: the time until an answer begins, as a fraction of
-	// the time within which it is fully useful. Zero if unknown.
+	// MedianLatency is the median latency of the targets of the group: the time until an answer begins, as a
+	// fraction of the latency objective (see evaluator.Evaluator). Zero if unknown.
 	MedianLatency float64
 
 	// prefixes are the prefixes of the prompt, and fresh the keys of those that Target was not known to have
@@ -131,15 +132,15 @@
 // use.
 type Selector struct {
 	settings Settings
-	// states has an entry for each process of which more than a placement is known.
-	states map[discoverer.Key]*state
+	// processes has an entry for each process of which more than a placement is known.
+	processes map[discoverer.Key]*processLoad
 	// listed are the processes in the registry at its last change; nil before the first.
 	listed map[discoverer.Key]*discoverer.Target
 	// departed are the processes that were recently removed from the registry.
-	departed   departures
-	loads      []TargetLoad
-	health     *health
-	placements *placements
+	departed     departures
+	pendingLoads []TargetLoad
+	health       *health
+	placements   *placements
 	// suppressor tracks the targets that requested a backoff from this instance.
 	suppressor *suppressor.Suppressor[discoverer.Key]
 	// throttler bounds the calls to cold targets. fleet returns the state of all instances.
@@ -147,19 +148,20 @@
 	fleet     func() throttler.Fleet
 }
 
-// New returns a selector without calls. Until Throttle is called, it assumes that this instance is the only
-// one.
+// New returns a selector without calls. Until the source of the state of all instances is set, it assumes that this
+// instance is the only one.
 func New(s Settings) *Selector {
-	o := &Selector{settings: s, states: make(map[discoverer.Key]*state), departed: make(departures), health: newHealth(), placements: newPlacements(), suppressor: suppressor.New[discoverer.Key]()}
-	o.Throttle(throttler.DefaultSettings(), func() throttler.Fleet {
+	o := &Selector{settings: s, processes: make(map[discoverer.Key]*processLoad), departed: make(departures), health: newHealth(), placements: newPlacements(), suppressor: suppressor.New[discoverer.Key]()}
+	o.ConfigureThrottling(throttler.DefaultSettings(), func() throttler.Fleet {
 		return throttler.Fleet{Live: []uint64{0}, MaxInstances: 1, Settled: true}
 	})
 
 	return o
 }
 
-// Throttle sets the bound on the calls to cold targets and the source of the state of all instances.
-func (s *Selector) Throttle(t throttler.Settings, fleet func() throttler.Fleet) {
+// ConfigureThrottling sets the bound on the calls to cold targets and the source of the state of all instances. It resets the
+// counts of calls to cold targets.
+func (s *Selector) ConfigureThrottling(t throttler.Settings, fleet func() throttler.Fleet) {
 	s.throttler, s.fleet = throttler.New(t), fleet
 }
 
@@ -176,7 +178,7 @@
 	open := s.admissible(now, ready, &q)
 	backingOff, cold := len(all)-len(ready), len(ready)-len(open)
 
-	l, u, usual := s.health.usable(now, group, open)
+	l, u, median := s.health.usable(now, group, open)
 	u = filterOrAll(u, func(x candidate) bool { return !x.shed })
 
 	if len(u) == 0 {
@@ -192,7 +194,7 @@
 		s.recordSent(now, x)
 
 		return Choice{
-			Target: x.target, Load: x.load, Bound: float64(x.target.Slots), Usable: len(u), MedianLatency: usual,
+			Target: x.target, Load: x.load, Bound: float64(x.target.Slots), Usable: len(u), MedianLatency: median,
 			Cold: cold, Throttled: x.cold, BackingOff: backingOff,
 		}, true
 	}
@@ -204,8 +206,8 @@
 	s.recordSent(now, x)
 
 	o := Choice{
-		Target: x.target, Source: s.fetchSource(now, r, u, n, h, &q),
-		Load: x.load, Bound: bound, Usable: len(u), Cached: slices.Contains(h, n), MedianLatency: usual, Cold: cold, Throttled: x.cold,
+		Target: x.target, FetchFrom: s.fetchSource(now, r, u, n, h, &q),
+		Load: x.load, Bound: bound, Usable: len(u), Cached: slices.Contains(h, n), MedianLatency: median, Cold: cold, Throttled: x.cold,
 		BackingOff: backingOff, prefixes: q.Prefixes,
 	}
 
@@ -289,19 +291,19 @@
 }
 
 func (s *Selector) load(now time.Time, t *discoverer.Target) float64 {
-	if p, ok := s.states[t.Key()]; ok {
+	if p, ok := s.processes[t.Key()]; ok {
 		return p.load(now)
 	}
 
 	return 0
 }
 
-// state returns the load state of a target's process, which is created if necessary.
-func (s *Selector) state(t *discoverer.Target) *state {
-	p, ok := s.states[t.Key()]
+// process returns the load state of a target's process, which is created if necessary.
+func (s *Selector) process(t *discoverer.Target) *processLoad {
+	p, ok := s.processes[t.Key()]
 	if !ok {
-		p = &state{target: t, unlisted: s.listed != nil && s.listed[t.Key()] == nil}
-		s.states[t.Key()] = p
+		p = &processLoad{target: t, unlisted: s.listed != nil && s.listed[t.Key()] == nil}
+		s.processes[t.Key()] = p
 	}
 
 	return p
--- a/internal/selector/selector_test.go
+++ b/internal/selector/selector_test.go
@@ -178,9 +178,9 @@
 	is.True(unreachable <= 8)
 }
 
-// The data centre is partitioned and all targets of a group are in others. Guards against calls that dial each of
-// them in turn, a third of a second in total, before they are refused. One call in 100 ms probes the targets;
-// the others are refused at once.
+// The data centre of this instance is partitioned, and all targets of a group are in other data centres. Guards
+// against calls that dial each of them in turn, a third of a second in total, before they are refused. One call in
+// 100 ms probes the targets; the others are refused at once.
 func TestUnreachableGroupIsProbed(t *testing.T) {
 	is := is.New(t)
 	r := registry(3, "b", "c", "d")
@@ -236,8 +236,8 @@
 	is.True(served >= 90)
 }
 
-// One engine is slow and never fails. Guards against answers that begin late for as long as that lasts: calls
-// that may run only once can't leave it again.
+// One engine is slow and never fails. Guards against answers that begin late while the engine is slow: calls that
+// may run only once can't be sent to another engine afterwards.
 func TestSlowTargetIsExcludedAndProbed(t *testing.T) {
 	is := is.New(t)
 	r := registry(6, "a")
@@ -284,17 +284,17 @@
 
 	s := selector.New(selector.DefaultSettings())
 	o := choose(s, now, d.Registry(), query(7))
-	is.Equal(o.Source, nil)
+	is.Equal(o.FetchFrom, nil)
 
 	d.Set(discoverer.Target{ID: "new", Group: group})
 	d.Set(discoverer.Target{ID: "old", Group: group, Draining: true})
 
 	o = choose(s, now, d.Registry(), query(7))
 	is.Equal(o.Target.ID, "new")
-	is.Equal(o.Source.ID, "old")
+	is.Equal(o.FetchFrom.ID, "old")
 
 	o = choose(s, now, d.Registry(), query(7))
-	is.Equal(o.Source, nil) // It has the prompt cached now.
+	is.Equal(o.FetchFrom, nil) // The new engine has the prompt cached now.
 }
 
 func TestPlacementsFromPeers(t *testing.T) {
@@ -323,7 +323,7 @@
 			o, ok := s.Choose(now, r, group, q)
 			is.True(ok)
 			is.Equal(o.Target.ID, "t1")
-			is.Equal(o.Source != nil, x.fetch)
+			is.Equal(o.FetchFrom != nil, x.fetch)
 		})
 	}
 }
@@ -334,13 +334,13 @@
 	r := registry(1, "a")
 	s := selector.New(selector.DefaultSettings())
 
-	read := func(now time.Time) { s.ConfirmPlacements(now, choose(s, now, r, query(1))) }
+	confirm := func(now time.Time) { s.ConfirmPlacements(now, choose(s, now, r, query(1))) }
 
-	read(now)
+	confirm(now)
 	is.Equal(len(s.PendingUpdate().Placements), 1)
-	read(now.Add(time.Second))
+	confirm(now.Add(time.Second))
 	is.Equal(len(s.PendingUpdate().Placements), 0)
-	read(now.Add(30 * time.Second))
+	confirm(now.Add(30 * time.Second))
 	is.Equal(len(s.PendingUpdate().Placements), 1)
 }
 
@@ -405,8 +405,8 @@
 
 			o := choose(s, now, r, q)
 			is.Equal(o.Target != first, x.full || x.unreachable)
-			is.Equal(o.Source == first, x.want)
-			is.Equal(o.Source != nil, x.want)
+			is.Equal(o.FetchFrom == first, x.want)
+			is.Equal(o.FetchFrom != nil, x.want)
 		})
 	}
 }
@@ -441,7 +441,7 @@
 
 	p := choose(s, now, r, query(5))
 	is.True(p.Target.ID != o.Target.ID)
-	is.Equal(p.Source.ID, o.Target.ID)
+	is.Equal(p.FetchFrom.ID, o.Target.ID)
 
 	// A load report expires.
 	now = now.Add(time.Minute / 2)
@@ -464,7 +464,7 @@
 		}
 	}
 
-	is.True(remote > 0 && remote < 20) // Local until it has 0.5 calls per slot more.
+	is.True(remote > 0 && remote < 20) // Calls stay local until the local target has 0.5 calls per slot more than the other.
 }
 
 func TestNoTarget(t *testing.T) {
@@ -544,7 +544,7 @@
 		o := choose(s, now.Add(time.Duration(n)*time.Millisecond), r, query(k+1))
 		running[o.Target.ID]++
 
-		// The guaranteed multiple of the mean, plus a slack for few calls.
+		// The guaranteed multiple of the mean, plus a constant that matters when there are few calls.
 		i.True(float64(running[o.Target.ID]) <= 2*float64(n+1)/20+3)
 	}
 }
@@ -590,7 +590,7 @@
 }
 
 // Guards against metrics that do not show the health status of targets.
-func TestViews(t *testing.T) {
+func TestTargetStates(t *testing.T) {
 	i := is.New(t)
 	r := registry(3, "a", "b", "c")
 	s := selector.New(selector.DefaultSettings())
@@ -600,7 +600,7 @@
 	s.Start(now, r.Known["t2"])
 	s.Finish(now, r.Known["t2"], selector.Unreachable)
 
-	v := s.Views(now, r)
+	v := s.TargetStates(now, r)
 	i.Equal(len(v), 3)
 	i.Equal(v[1].Load, 1.0)
 	i.True(!v[1].Excluded)
@@ -675,7 +675,7 @@
 		i.True(o.Target.ID != "t0")
 	}
 
-	i.True(s.Views(now, r)[0].Excluded)
+	i.True(s.TargetStates(now, r)[0].Excluded)
 }
 
 // Targets of a data centre crash one after the other, and calls to them are refused a connection. Guards
@@ -751,8 +751,8 @@
 	}
 }
 
-// Guards against calls to a target that another instance found replaced, once it is in this instance's
-// registry.
+// Guards against calls to a target after another instance notified this one that the target was replaced at its
+// address. The notification applies only to a process that this instance's registry lists.
 func TestGoneReportedByPeer(t *testing.T) {
 	i := is.New(t)
 	r := registry(3, "a")
@@ -761,7 +761,7 @@
 
 	for _, p := range []discoverer.Process{{ID: "unknown"}, {ID: "t0", Start: startedAt}} {
 		s.ReportGone(now, r, p)
-		i.Equal(len(s.HealthChanges()), 0) // It is not listed.
+		i.Equal(len(s.HealthChanges()), 0) // The process is not listed.
 	}
 
 	s.ReportGone(now, r, discoverer.Process{ID: "t0"})
@@ -772,7 +772,7 @@
 	s.ReportGone(now, r, discoverer.Process{ID: "t0"})
 	s.Start(now, r.Known["t0"])
 	s.Finish(now, r.Known["t0"], selector.Gone)
-	i.Equal(len(s.HealthChanges()), 0) // Already known, so an outcome of its own adds nothing.
+	i.Equal(len(s.HealthChanges()), 0) // The target is already excluded, so the instance's own observation changes nothing.
 
 	for n := range uint64(50) {
 		o, ok := s.Choose(now, r, group, query(n))
@@ -782,7 +782,7 @@
 
 	i.Equal(len(s.HealthChanges()), 0)
 
-	// When the exclusion is over, it is readmitted like one that this instance excluded itself.
+	// When the exclusion is over, the target is readmitted like one that this instance excluded itself.
 	now = now.Add(time.Minute)
 	s.Start(now, r.Known["t0"])
 	s.Finish(now, r.Known["t0"], selector.Answered)
--- a/internal/selector/update.go
+++ b/internal/selector/update.go
@@ -7,8 +7,8 @@
 	"github.com/auburntray/auburntray/internal/discoverer"
 )
 
-// callFinishedAge is the age of a load report from which the call that carried it is assumed to have finished.
-// A call takes a few hundred milliseconds.
+// callFinishedAge is the age of a load report at which the call whose answer contained the report is assumed to
+// have finished. A call takes a few hundred milliseconds.
 const callFinishedAge = 500 * time.Millisecond
 
 // Update holds the placements and load reports that instances send to each other.
@@ -29,7 +29,7 @@
 
 	for _, l := range n.Loads {
 		if t, ok := r.Names[l.Target]; ok {
-			s.state(t).report(l.At, l.callsAt(now))
+			s.process(t).report(l.At, l.callsAt(now))
 		}
 	}
 }
@@ -37,7 +37,7 @@
 // ReportGone applies another instance's notification that a process has been replaced at its address. Another
 // process under the same ID is not affected.
 func (s *Selector) ReportGone(now time.Time, r *discoverer.Registry, p discoverer.Process) {
-	if t, ok := r.Processes[p.Key()]; ok && !s.state(t).unlisted {
+	if t, ok := r.Processes[p.Key()]; ok && !s.process(t).unlisted {
 		s.health.reportGone(now, t)
 	}
 }
@@ -45,25 +45,25 @@
 // PendingUpdate returns the pending update for other instances and clears it: placements that they may not know and the
 // latest load report of each target.
 func (s *Selector) PendingUpdate() Update {
-	n := Update{Placements: s.placements.drain()}
-	k := make(map[discoverer.Name]bool, len(s.loads))
+	n := Update{Placements: s.placements.takePending()}
+	k := make(map[discoverer.Name]bool, len(s.pendingLoads))
 
-	for _, l := range slices.Backward(s.loads) {
+	for _, l := range slices.Backward(s.pendingLoads) {
 		if !k[l.Target] {
 			k[l.Target] = true
 			n.Loads = append(n.Loads, l)
 		}
 	}
 
-	s.loads = nil
+	s.pendingLoads = nil
 
 	return n
 }
 
 // callsAt estimates the number of calls at a target from an earlier load report.
 //
-// The report is part of the answer to a call and counts that call too. With hundreds of instances a report is
-// about a second old on arrival, and the call has finished. If it were still counted, the mean would be one
+// The report is part of the answer to a call and counts that call too. With hundreds of instances a report is about
+// a second old on arrival, and the call has finished. If the call were still counted, the mean load would be one
 // too high, and every target could exceed its bound by two calls.
 func (l TargetLoad) callsAt(now time.Time) int {
 	if now.Sub(l.At) < callFinishedAge {
--- a/internal/selector/view.go
+++ b/internal/selector/view.go
@@ -21,7 +21,7 @@
 func (s *Selector) Running(centre string) int {
 	n := 0
 
-	for _, p := range s.states {
+	for _, p := range s.processes {
 		if p.target.DataCentre == centre {
 			n += p.running
 		}
@@ -30,8 +30,8 @@
 	return n
 }
 
-// View is the state of a target as seen by this instance.
-type View struct {
+// TargetState is the state of a target as seen by this instance.
+type TargetState struct {
 	Target *discoverer.Target
 	// Load is the estimated number of calls of all instances.
 	Load float64
@@ -39,15 +39,15 @@
 	Excluded bool
 }
 
-// Views returns the targets of a registry in the order of their IDs.
-func (s *Selector) Views(now time.Time, r *discoverer.Registry) []View {
-	o := make([]View, 0, len(r.Known))
+// TargetStates returns the states of the targets of a registry in the order of their IDs.
+func (s *Selector) TargetStates(now time.Time, r *discoverer.Registry) []TargetState {
+	o := make([]TargetState, 0, len(r.Known))
 
 	for _, t := range r.Known {
-		o = append(o, View{Target: t, Load: s.load(now, t), Excluded: s.health.isExcluded(t)})
+		o = append(o, TargetState{Target: t, Load: s.load(now, t), Excluded: s.health.isExcluded(t)})
 	}
 
-	slices.SortFunc(o, func(a, b View) int { return strings.Compare(a.Target.ID, b.Target.ID) })
+	slices.SortFunc(o, func(a, b TargetState) int { return strings.Compare(a.Target.ID, b.Target.ID) })
 
 	return o
 }
@@ -62,9 +62,9 @@
 // maxWitnesses is the number of targets that are probed to find out whether a data centre is reachable.
 const maxWitnesses = 2
 
-// Witnesses returns targets that distinguish a crash of the given target from a network partition: they should be
-// reachable whenever it is. These are other targets of its data centre, or of any if it is the only one there,
-// those with the fewest signs of failure first.
+// Witnesses returns the targets to probe to distinguish a crash of t from a network partition: if the probes
+// succeed, t's data centre is reachable. They are other targets of its data centre, or of any data centre if t is
+// the only one there. Those with the fewest signs of failure are first.
 func (s *Selector) Witnesses(now time.Time, r *discoverer.Registry, t *discoverer.Target) []*discoverer.Target {
 	var near, far []*discoverer.Target
 
--- a/internal/suppressor/suppressor.go
+++ b/internal/suppressor/suppressor.go
@@ -1,10 +1,10 @@
-// Package suppressor decides which targets an instance sends no calls to, because they refused one and requested a
-// backoff, as with a Retry-After header.
+// Package suppressor tracks the targets that refused a call and requested a backoff, for example with a
+// Retry-After header. No calls are sent to a target during its backoff.
 //
-// Load pattern: a few of many engines are overloaded and refuse every call, stating for how long they accept none.
-// The calls whose prompts they have cached return to them repeatedly, since they appear idle, and each
-// costs its caller an attempt. When the backoff expires, all waiting calls would arrive at once and overload
-// the engines again.
+// Load pattern: a few of many engines are overloaded and refuse every call, stating for how long they accept
+// none. The calls whose prompts these engines have cached are sent to them repeatedly, since the engines appear
+// idle, and each such call wastes one of its attempts. When the backoff expires, all waiting calls would arrive
+// at once and overload the engines again.
 //
 // A backoff is observed until it expires, even if no other target remains: refusing the call with the remaining
 // time serves the caller better than a call that the target refuses. After expiry a single probe call is
@@ -16,7 +16,7 @@
 )
 
 const (
-	// maxBackoff bounds a backoff, so that a target that states an absurd time is tried again eventually.
+	// maxBackoff bounds a backoff, so that a target that states an excessive time is tried again eventually.
 	maxBackoff = 10 * time.Minute
 	// recoveryAnswers is how many answers after a backoff lift the limit on concurrent probe calls.
 	recoveryAnswers = 4
@@ -28,11 +28,11 @@
 	retention = time.Minute
 )
 
-// backoff is the state of a target that has requested no calls.
+// backoff is the state of a target that has requested a backoff.
 type backoff struct {
-	until time.Time
-	// sent counts the calls sent after expiry, the latest of them at lastSent. answered counts the answers
-	// that have begun since.
+	expiry time.Time
+	// sent counts the calls sent after expiry, the latest of them at lastSent. answered counts those of them
+	// whose answers have begun.
 	sent, answered int
 	lastSent       time.Time
 }
@@ -55,18 +55,18 @@
 	u := now.Add(min(d, maxBackoff))
 
 	r, ok := s.backoffs[k]
-	if ok && r.until.After(u) {
-		u = r.until
+	if ok && r.expiry.After(u) {
+		u = r.expiry
 	}
 
-	s.backoffs[k] = &backoff{until: u}
+	s.backoffs[k] = &backoff{expiry: u}
 }
 
 // InBackoff reports whether the backoff of a target has not expired yet.
 func (s *Suppressor[K]) InBackoff(now time.Time, k K) bool {
 	r, ok := s.backoffs[k]
 
-	return ok && now.Before(r.until)
+	return ok && now.Before(r.expiry)
 }
 
 // Wait returns the time until a call may be sent to a target; zero if it may be sent now.
@@ -76,8 +76,8 @@
 	switch {
 	case !ok:
 		return 0
-	case now.Before(r.until):
-		return r.until.Sub(now)
+	case now.Before(r.expiry):
+		return r.expiry.Sub(now)
 	case r.sent-r.answered <= r.answered || now.Sub(r.lastSent) >= probeTimeout:
 		return 0
 	default:
@@ -93,7 +93,7 @@
 	}
 }
 
-// Withdraw reverts Sent for a call that was not sent after all.
+// Withdraw reverts RecordSent for a call that was not sent after all.
 func (s *Suppressor[K]) Withdraw(k K) {
 	if r, ok := s.backoffs[k]; ok {
 		r.sent = max(r.sent-1, 0)
@@ -104,7 +104,7 @@
 // it expired, are ignored: they do not show that the target has recovered.
 func (s *Suppressor[K]) RecordAnswer(now time.Time, k K) {
 	r, ok := s.backoffs[k]
-	if !ok || now.Before(r.until) || r.sent == r.answered {
+	if !ok || now.Before(r.expiry) || r.sent == r.answered {
 		return
 	}
 
@@ -117,7 +117,7 @@
 // expire drops the backoffs that expired at least the retention period ago.
 func (s *Suppressor[K]) expire(now time.Time) {
 	for k, r := range s.backoffs {
-		if now.Sub(r.until) >= retention {
+		if now.Sub(r.expiry) >= retention {
 			delete(s.backoffs, k)
 		}
 	}
