--- a/internal/discoverer/discoverer.go
+++ b/internal/discoverer/discoverer.go
@@ -9,25 +9,26 @@
 
 // Settings determines how long entries are retained after an outage of the list.
 type Settings struct {
-	// Grace is how long after an outage entries that were removed are retained: live targets
-	// register again within this time.
+	// Grace is the length of the grace period that begins when an outage ends. Entries that the list
+	// removes in it are held until its end, since live targets register again within this time.
 	Grace time.Duration
-	// MinOutage is the length of an outage from which on entries of live targets may have expired
-	// during it. Removals after shorter outages take effect at once.
+	// MinOutage is the length of the shortest outage that is followed by a grace period. During such
+	// an outage entries of live targets may expire. Removals after shorter outages take effect at
+	// once.
 	MinOutage time.Duration
 }
 
 // DefaultSettings returns the settings of a gateway. Live targets are on the list again within about
-// two seconds after an outage. A longer grace would retain failed targets beyond the two seconds
-// within which their removal must take effect.
+// two seconds after an outage. A longer grace period would retain failed targets beyond the two
+// seconds within which their removal must take effect.
 func DefaultSettings() Settings {
 	return Settings{Grace: 2 * time.Second, MinOutage: 3 * time.Second}
 }
 
 type entry struct {
 	target *Target
-	// held is set when the list removed the entry during the grace. The entry is dropped when the
-	// grace ends, unless the target registers again.
+	// held is set when the list removed the entry during the grace period. The entry is dropped at
+	// the end of the period, unless the target registers again.
 	held bool
 }
 
@@ -36,10 +37,12 @@
 type Discoverer struct {
 	settings Settings
 	entries  map[string]*entry
-	// leaving holds the processes that announced in answers that they are leaving, with the time
-	// when they were last on the list, or of the announcement if they were not.
+	// leaving holds the processes that announced in answers that they are leaving. The value is the
+	// time when the process was last seen on the list, or the time of the announcement if the process
+	// has not been on the list since.
 	leaving map[Key]time.Time
-	// restored is when the list became available again after the last long outage.
+	// restored is when the list became available again after the last outage of at least
+	// Settings.MinOutage.
 	restored time.Time
 	// registry is the registry as last built; stale is set when entries have changed since.
 	registry *Registry
@@ -51,9 +54,9 @@
 	return &Discoverer{settings: s, entries: make(map[string]*entry), leaving: make(map[Key]time.Time), stale: true}
 }
 
-// Registry returns the registry of the current entries. It is rebuilt if entries have changed since the
-// last call, that is, once per batch of changes, since this takes a millisecond with thousands of
-// targets.
+// Registry returns the registry of the current entries. It is rebuilt only if entries have changed
+// since the last call, so once per batch of changes: building it takes a millisecond with thousands
+// of targets.
 func (d *Discoverer) Registry() *Registry {
 	if d.stale {
 		d.registry, d.stale = d.build(), false
@@ -73,8 +76,8 @@
 }
 
 // RecordOutage records that the list is available again after an outage of the given length.
-func (d *Discoverer) RecordOutage(now time.Time, away time.Duration) {
-	if away >= d.settings.MinOutage {
+func (d *Discoverer) RecordOutage(now time.Time, outage time.Duration) {
+	if outage >= d.settings.MinOutage {
 		d.restored = now
 	}
 }
@@ -83,13 +86,13 @@
 // last record of an ID names the process that runs, even if the start of that process is earlier than
 // that of the previous one; see Process.
 func (d *Discoverer) Set(t Target) {
-	d.enter(t)
+	d.setEntry(t)
 	d.stale = true
 }
 
-// enter adds or replaces an entry and marks it as leaving if its process has announced that.
-func (d *Discoverer) enter(t Target) {
-	x := t.enter()
+// setEntry adds or replaces an entry and marks it as leaving if its process has announced that.
+func (d *Discoverer) setEntry(t Target) {
+	x := t.withHashes()
 	_, x.Leaving = d.leaving[x.key]
 	d.entries[t.ID] = &entry{target: x}
 }
@@ -99,9 +102,10 @@
 // the list once more after the outage.
 const leavingRetention = time.Minute
 
-// MarkLeaving marks a process as leaving, as it announced itself, and reports whether that was unknown. The
-// process accepts no new calls from then on, whatever its entry states: the entry is older or waits
-// for the platform.
+// MarkLeaving marks a process as leaving because it announced that itself, and returns whether the
+// announcement is new. From then on the process accepts no new calls, even if its entry does not state
+// that it is leaving: the entry may be older than the announcement, or its update may be delayed by the
+// platform.
 func (d *Discoverer) MarkLeaving(now time.Time, p Process) bool {
 	k := p.Key()
 	if _, ok := d.leaving[k]; ok {
@@ -135,12 +139,13 @@
 	}
 }
 
-// Remove removes a target's entry, as the list did. It reports whether the entry was dropped at once;
-// during the grace after an outage it is held instead, unless the target is leaving.
+// Remove applies the removal of a target's entry from the list. It returns whether the entry was dropped
+// at once. During the grace period after an outage the entry is held instead, unless the target is
+// leaving.
 //
-// Entries of live targets also expire during an outage of the list. Their removals arrive all at once
-// after it, and dropping them would leave all calls without a target. Live targets register again
-// before the grace ends.
+// During an outage of the list, entries of live targets expire too. Their removals all arrive at the end
+// of the outage, and if the entries were dropped, no call would find a target. Live targets register
+// again before the grace period ends.
 func (d *Discoverer) Remove(now time.Time, id string) bool {
 	x, ok := d.entries[id]
 	if !ok {
@@ -159,8 +164,8 @@
 	return true
 }
 
-// Drop drops a target's entry at once, also during the grace. It is for entries that were overwritten,
-// which did not expire in an outage.
+// Drop drops a target's entry at once, also during the grace period. It is used for entries that were
+// overwritten by an invalid one; these did not expire in an outage.
 func (d *Discoverer) Drop(id string) {
 	if _, ok := d.entries[id]; !ok {
 		return
@@ -177,7 +182,7 @@
 
 	for _, t := range l {
 		k[t.ID] = true
-		d.enter(t)
+		d.setEntry(t)
 	}
 
 	for id := range d.entries {
@@ -189,7 +194,7 @@
 	d.stale = true
 }
 
-// ExpireHeld drops the held entries once the grace has ended, and returns their IDs in order. It must be
+// ExpireHeld drops the held entries once the grace period has ended, and returns their IDs in order. It must be
 // called periodically.
 func (d *Discoverer) ExpireHeld(now time.Time) []string {
 	if len(d.leaving) > 0 {
--- a/internal/discoverer/discoverer_test.go
+++ b/internal/discoverer/discoverer_test.go
@@ -82,7 +82,7 @@
 }
 
 // Guards against calls to a target in the two seconds after it was removed: the instance missed a few reads,
-// and must not treat the removal as one due to an outage and hold the entry for the grace.
+// which is no long outage, so it must not hold the entry for the grace period.
 func TestEntriesAreNotHeldAfterAShortOutage(t *testing.T) {
 	is := is.New(t)
 	b := time.Unix(1000, 0)
--- a/internal/discoverer/evacuation_test.go
+++ b/internal/discoverer/evacuation_test.go
@@ -26,7 +26,7 @@
 	r := all.WithEvacuated(func(c string) bool { return c == "b" }, nil)
 
 	i.Equal(len(r.Groups["g"]), 1)
-	i.Equal(len(r.Closed["g"]), 2)
+	i.Equal(len(r.Evacuated["g"]), 2)
 	_, ok := r.Groups["h"]
 	i.True(!ok)
 	i.Equal(len(r.Known), 5)
--- a/internal/discoverer/leaving_test.go
+++ b/internal/discoverer/leaving_test.go
@@ -81,7 +81,7 @@
 	i.True(d.Registry() == r)
 }
 
-// Guards against holding the entry of a leaving target for the grace after an outage of the list.
+// Guards against holding the entry of a leaving target for the grace period after an outage of the list.
 func TestLeavingTargetIsNotHeld(t *testing.T) {
 	i := is.New(t)
 	b := time.Unix(1000, 0)
--- a/internal/discoverer/process.go
+++ b/internal/discoverer/process.go
@@ -11,10 +11,10 @@
 // Process identifies one process of a target. A target that restarts may retain its ID, but has
 // another start.
 //
-// Starts don't order the processes of an ID. They are by the target's clock, and after a step back
-// of that clock the newer process would count as replaced for as long as the step was. Instead, the
-// record of the ID with the highest offset on the list names the process that runs, whatever its
-// start. The reader of the list tracks the offsets.
+// The start does not tell which process of an ID is the newer one. It is measured by the target's
+// clock; if that clock was set back before a restart, the newer process has the earlier start.
+// Instead, the record with the highest offset of all records of the ID names the process that runs,
+// whatever its start. The reader of the list tracks the offsets.
 type Process struct {
 	ID string
 	// Start is zero when the list does not state it. Processes of one ID without a start can't be
@@ -40,7 +40,7 @@
 //
 // Its four bytes keep notifications small. The probability that any two of 3,000 targets share a
 // name is 1 in 1,000. Notifications with a shared name are ignored for both targets, since otherwise
-// a target would be assigned the cached prompts or the load of the other.
+// the cached prompts or the load of one target would be attributed to the other.
 type Name uint32
 
 // Name returns the key's short form.
--- a/internal/discoverer/process_test.go
+++ b/internal/discoverer/process_test.go
@@ -19,14 +19,14 @@
 		process discoverer.Process
 		same    bool
 	}{
-		"same":                 {discoverer.Process{ID: "a", Start: b}, true},
-		"same in another zone": {discoverer.Process{ID: "a", Start: b.In(time.FixedZone("x", 3600))}, true},
-		"other ID":             {discoverer.Process{ID: "b", Start: b}, false},
-		"later start":          {discoverer.Process{ID: "a", Start: b.Add(time.Millisecond)}, false},
-		"earlier start":        {discoverer.Process{ID: "a", Start: b.Add(-time.Hour)}, false},
-		"start before 1970":    {discoverer.Process{ID: "a", Start: time.UnixMilli(-1)}, false},
-		"start at 1970":        {discoverer.Process{ID: "a", Start: time.UnixMilli(0)}, false},
-		"no start":             {discoverer.Process{ID: "a"}, false},
+		"same":                    {discoverer.Process{ID: "a", Start: b}, true},
+		"same in other time zone": {discoverer.Process{ID: "a", Start: b.In(time.FixedZone("x", 3600))}, true},
+		"other ID":                {discoverer.Process{ID: "b", Start: b}, false},
+		"later start":             {discoverer.Process{ID: "a", Start: b.Add(time.Millisecond)}, false},
+		"earlier start":           {discoverer.Process{ID: "a", Start: b.Add(-time.Hour)}, false},
+		"start before 1970":       {discoverer.Process{ID: "a", Start: time.UnixMilli(-1)}, false},
+		"start at 1970":           {discoverer.Process{ID: "a", Start: time.UnixMilli(0)}, false},
+		"no start":                {discoverer.Process{ID: "a"}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
--- a/internal/discoverer/registry.go
+++ b/internal/discoverer/registry.go
@@ -11,11 +11,11 @@
 type Registry struct {
 	// Groups holds the targets that accept new calls by group, in the order of their IDs.
 	Groups map[string][]*Target
-	// Closed holds the targets by group that would accept new calls if their data centres were not
+	// Evacuated holds the targets by group that would accept new calls if their data centres were not
 	// evacuated.
-	Closed map[string][]*Target
-	// Reopened holds the times when evacuations of data centres ended. Their targets may have
-	// become cold meanwhile, which the list shows only later.
+	Evacuated map[string][]*Target
+	// Reopened holds, by data centre, the time when its evacuation ended. Its targets may have
+	// become cold during the evacuation, and the list states that only later.
 	Reopened map[string]time.Time
 	// Known holds all targets by ID, including those that are leaving.
 	Known map[string]*Target
@@ -47,23 +47,23 @@
 // WithEvacuated returns a registry in which the targets of closed data centres accept no new calls, with
 // the times at which data centres were reopened. Targets of closed data centres remain known, so that
 // cached prompts can still be fetched from them.
-func (r *Registry) WithEvacuated(closed func(centre string) bool, reopened map[string]time.Time) *Registry {
+func (r *Registry) WithEvacuated(evacuated func(centre string) bool, reopened map[string]time.Time) *Registry {
 	o := *r
-	o.Groups, o.Closed, o.Reopened = maps.Clone(r.Groups), make(map[string][]*Target), reopened
+	o.Groups, o.Evacuated, o.Reopened = maps.Clone(r.Groups), make(map[string][]*Target), reopened
 
 	for n, l := range r.Groups {
-		out := func(t *Target) bool { return closed(t.DataCentre) }
-		if !slices.ContainsFunc(l, out) {
+		isEvacuated := func(t *Target) bool { return evacuated(t.DataCentre) }
+		if !slices.ContainsFunc(l, isEvacuated) {
 			continue
 		}
 
 		for _, t := range l {
-			if out(t) {
-				o.Closed[n] = append(o.Closed[n], t)
+			if isEvacuated(t) {
+				o.Evacuated[n] = append(o.Evacuated[n], t)
 			}
 		}
 
-		if o.Groups[n] = slices.DeleteFunc(slices.Clone(l), out); len(o.Groups[n]) == 0 {
+		if o.Groups[n] = slices.DeleteFunc(slices.Clone(l), isEvacuated); len(o.Groups[n]) == 0 {
 			delete(o.Groups, n)
 		}
 	}
--- a/internal/discoverer/target.go
+++ b/internal/discoverer/target.go
@@ -14,7 +14,7 @@
 	Group      string
 	Address    netip.AddrPort
 	DataCentre string
-	// Slots is the number of calls that the target can run at a time; may be zero.
+	// Slots is the number of calls that the target can run at a time, as its entry states; may be zero.
 	Slots int
 	// Draining is set when the entry states that the target is leaving and accepts no new calls.
 	Draining bool
@@ -24,14 +24,14 @@
 	// Start is when the process started, by the target's clock, which may step; zero when the list
 	// does not state it. It distinguishes the processes of an ID, but does not order them.
 	Start time.Time
-	// Cold is for how long from its entry on the process is cold, that is, can serve few calls at a
-	// time; negative when the entry does not state it.
-	Cold time.Duration
+	// ColdTime is how long after its entry was read the process remains cold, that is, can serve only few
+	// calls at a time; negative when the entry does not state it.
+	ColdTime time.Duration
 	// Offset is the offset of the entry's record.
 	Offset int64
 
-	// coldUntil is when the process becomes warm by its entry, and firstSeen is when the process was
-	// first seen.
+	// coldUntil is when the process becomes warm according to its entry, and firstSeen is when an entry
+	// of the process was first read.
 	coldUntil, firstSeen time.Time
 	// key, rank and centre are hashes, computed when the target is entered, since each selection
 	// uses them for each target.
@@ -45,19 +45,19 @@
 
 // WithReadTime returns the target with the times that depend on when its entry was read. The previous entry of
 // the same ID is nil if there is none. Reading the same record again does not extend the cold time.
-func (t Target) WithReadTime(now time.Time, before *Target) Target {
+func (t Target) WithReadTime(now time.Time, previous *Target) Target {
 	t.firstSeen = now
 
-	if before != nil && before.Process() == t.Process() {
-		t.firstSeen, t.coldUntil = before.firstSeen, before.coldUntil
+	if previous != nil && previous.Process() == t.Process() {
+		t.firstSeen, t.coldUntil = previous.firstSeen, previous.coldUntil
 
-		if before.Offset == t.Offset {
+		if previous.Offset == t.Offset {
 			return t
 		}
 	}
 
-	if t.Cold >= 0 {
-		t.coldUntil = now.Add(t.Cold)
+	if t.ColdTime >= 0 {
+		t.coldUntil = now.Add(t.ColdTime)
 	}
 
 	return t
@@ -66,7 +66,7 @@
 // ColdAt reports whether the process is cold. If its entry does not state that, the process counts as
 // cold for the usual time of its group from when it was first seen.
 func (t *Target) ColdAt(now time.Time, usual time.Duration) bool {
-	if t.Cold == ColdUnknown {
+	if t.ColdTime == ColdUnknown {
 		return now.Before(t.firstSeen.Add(usual))
 	}
 
@@ -98,8 +98,8 @@
 	return t.Address != from.Address || t.Group != from.Group
 }
 
-// enter returns a copy of the target with its hashes.
-func (t Target) enter() *Target {
+// withHashes returns a copy of the target with its hashes.
+func (t Target) withHashes() *Target {
 	t.key = t.Process().Key()
 	t.rank = uint64(hasher.Name(t.ID))
 	t.centre = hasher.Name(t.DataCentre)
--- a/internal/forwarder/attempt.go
+++ b/internal/forwarder/attempt.go
@@ -144,7 +144,7 @@
 	backoff := f.remainingBackoff(x, r)
 
 	switch {
-	case len(r.Groups[x.group]) == 0 && len(r.Closed[x.group]) > 0:
+	case len(r.Groups[x.group]) == 0 && len(r.Evacuated[x.group]) > 0:
 		return refuse(http.StatusServiceUnavailable, Evacuated, evacuatedWait, "all data centres with targets are evacuated")
 	case len(r.Groups[x.group]) == 0 && r.HasLeaving(x.group):
 		return refuse(http.StatusServiceUnavailable, TargetsLeaving, leavingWait, "all targets leave")
--- a/internal/forwarder/cold_test.go
+++ b/internal/forwarder/cold_test.go
@@ -24,7 +24,7 @@
 	g.state.setCatalog(c)
 
 	x := *g.state.Registry().Known["t0"]
-	x.Cold = time.Minute
+	x.ColdTime = time.Minute
 	g.setTargets(x.WithReadTime(time.Now(), nil))
 
 	for k := range 8 {
--- a/internal/gatekeeper/config_handler.go
+++ b/internal/gatekeeper/config_handler.go
@@ -15,9 +15,9 @@
 	state    *state
 	key      string
 	decode   func([]byte) (cataloger.Document, error)
-	refusals *refusalReporter
-	// afterRefused is the offset after the last refused record.
-	afterRefused int64
+	reporter *invalidRecordReporter
+	// afterInvalid is the offset after the last invalid record that was reported.
+	afterInvalid int64
 }
 
 var _ watcher.Handler = (*configHandler)(nil)
@@ -48,17 +48,17 @@
 		}
 	}
 
-	// The newest record of the key is contained in each full list.
-	if r.Offset < h.afterRefused {
+	// Each full list contains the newest record of the key again; it is reported only once.
+	if r.Offset < h.afterInvalid {
 		return
 	}
 
-	h.afterRefused = r.Offset + 1
-	h.refusals.report(err, logrus.Fields{"event": "catalogRefused", "version": d.Version, "offset": r.Offset})
+	h.afterInvalid = r.Offset + 1
+	h.reporter.report(err, logrus.Fields{"event": "catalogRefused", "version": d.Version, "offset": r.Offset})
 }
 
 // Read implements watcher.Handler.
-func (h *configHandler) Read(time.Duration) { h.refusals.flush() }
+func (h *configHandler) Read(time.Duration) { h.reporter.flush() }
 
 // Failed implements watcher.Handler.
 func (h *configHandler) Failed(error) {}
--- a/internal/gatekeeper/config_handler_test.go
+++ b/internal/gatekeeper/config_handler_test.go
@@ -32,7 +32,7 @@
 			h := collector.New(t)
 			f, c := newState(), counts{}
 			f.onRegistryChange = func(*discoverer.Registry) {}
-			s := &configHandler{state: f, key: "config", refusals: &refusalReporter{stream: "config", counter: c}, decode: func(b []byte) (cataloger.Document, error) {
+			s := &configHandler{state: f, key: "config", reporter: &invalidRecordReporter{stream: "config", counter: c}, decode: func(b []byte) (cataloger.Document, error) {
 				if string(b) == `"wrong"` {
 					return cataloger.Document{Version: 9}, &watcher.RecordError{Fault: watcher.WrongType, Field: "routes"}
 				}
@@ -52,7 +52,7 @@
 				i.NoErr(s.Reset([]watcher.Record{{Key: "config", Value: []byte(x.value), Offset: 2}}, 3))
 			}
 
-			i.Equal(f.version(), uint64(7))
+			i.Equal(f.catalogVersion(), uint64(7))
 			i.Equal(c, counts{"config " + x.reason: 1})
 			i.Equal(len(h.AllEntries()), 1)
 
@@ -67,7 +67,7 @@
 			}
 
 			s.Change(watcher.Record{Key: "config", Value: []byte(`{"Version":10}`), Offset: 3})
-			i.Equal(f.version(), uint64(10))
+			i.Equal(f.catalogVersion(), uint64(10))
 			logrus.SetLevel(logrus.PanicLevel)
 		})
 	}
--- a/internal/gatekeeper/evacuation_handler.go
+++ b/internal/gatekeeper/evacuation_handler.go
@@ -17,7 +17,7 @@
 	// evacuation. The error describes the part of the record that can't be decoded.
 	decode   func(key string, b []byte) (centre string, ok bool, err error)
 	records  *seenRecords
-	refusals *refusalReporter
+	reporter *invalidRecordReporter
 }
 
 var _ watcher.Handler = (*evacuationHandler)(nil)
@@ -52,7 +52,7 @@
 }
 
 // Change implements watcher.Handler. A record whose value can't be decoded still starts an
-// evacuation: its key names the data centre, and calls sent there can't be recalled.
+// evacuation if its key names the data centre: calls that were sent there can't be recalled.
 func (h *evacuationHandler) Change(r watcher.Record) {
 	c, ok, err := h.decode(r.Key, r.Value)
 	if !ok || h.records.contains(r) {
@@ -66,11 +66,11 @@
 	}
 
 	if err != nil {
-		h.refusals.report(err, logrus.Fields{"event": "evacuationUnclear", "dataCentre": c, "offset": r.Offset})
+		h.reporter.report(err, logrus.Fields{"event": "evacuationUnclear", "dataCentre": c, "offset": r.Offset})
 	}
 
 	if c == "" {
-		h.records.set(r.Key, seenRecord{offset: r.Offset, outcome: refused})
+		h.records.set(r.Key, seenRecord{offset: r.Offset, outcome: invalid})
 
 		return
 	}
@@ -98,7 +98,7 @@
 }
 
 // Read implements watcher.Handler.
-func (h *evacuationHandler) Read(time.Duration) { h.refusals.flush() }
+func (h *evacuationHandler) Read(time.Duration) { h.reporter.flush() }
 
 // Failed implements watcher.Handler.
 func (h *evacuationHandler) Failed(error) {}
--- a/internal/gatekeeper/evacuation_handler_test.go
+++ b/internal/gatekeeper/evacuation_handler_test.go
@@ -25,7 +25,7 @@
 	c := counts{}
 
 	return &evacuationHandler{
-		state: f, records: newSeenRecords(), refusals: &refusalReporter{stream: "config", counter: c},
+		state: f, records: newSeenRecords(), reporter: &invalidRecordReporter{stream: "config", counter: c},
 		decode: func(key string, b []byte) (string, bool, error) {
 			n, ok := strings.CutPrefix(key, "e/")
 			if ok && (string(b) == "bad" || n == "" && len(b) > 0) {
@@ -69,7 +69,8 @@
 	return watcher.Record{Key: key, Value: []byte("{}"), Offset: offset}
 }
 
-// Guards against evacuations that are lost or restored by deleted history and outdated lists.
+// Guards against losing an evacuation in force, or restoring one that has ended, when the history of the
+// stream is deleted or an outdated list is read.
 func TestEvacuationsFollowTheStream(t *testing.T) {
 	type step struct {
 		// change is one record; list is a full list with its end.
@@ -154,7 +155,7 @@
 
 // Guards against calls to a target that registered during the evacuation of its data centre, or
 // whose group entered the catalog only then.
-func TestWhatComesDuringAnEvacuationStaysClosed(t *testing.T) {
+func TestTargetsListedDuringEvacuationGetNoCalls(t *testing.T) {
 	i := is.New(t)
 	f := stateWithCentres(t, "a", "b")
 	s, _ := newTestEvacuationHandler(f)
@@ -169,7 +170,7 @@
 	i.NoErr(err)
 	f.applyCatalog(c, watcher.Record{})
 	i.Equal(openCentres(f), "b")
-	i.Equal(len(f.Registry().Closed["g"]), 2)
+	i.Equal(len(f.Registry().Evacuated["g"]), 2)
 }
 
 // running holds the number of calls by data centre.
--- a/internal/gatekeeper/evacuation_reporter.go
+++ b/internal/gatekeeper/evacuation_reporter.go
@@ -22,6 +22,7 @@
 type workload interface {
 	// Running returns the number of calls from this instance at the targets of a data centre.
 	Running(centre string) int
+	// TargetStates returns the load and health status of each target.
 	TargetStates() []selector.TargetState
 }
 
@@ -29,8 +30,8 @@
 type evacuationReporter struct {
 	state    *state
 	workload workload
-	// reported holds, by data centre, the start of the evacuation that was already logged as empty.
-	// It is used by reportEmptied only.
+	// reported holds, by data centre, the start of the evacuation for which reportEmptied has logged
+	// that no calls run there any more. It is used by reportEmptied only.
 	reported map[string]time.Time
 }
 
--- a/internal/gatekeeper/gatekeeper.go
+++ b/internal/gatekeeper/gatekeeper.go
@@ -23,7 +23,8 @@
 // ErrStart marks failures to start the gateway.
 var ErrStart = errors.New("gateway failed to start")
 
-// Gatekeeper is one gateway instance. It is safe for concurrent use.
+// Gatekeeper is one gateway instance: the servers for callers and peers, and the components that select
+// targets and forward calls to them. It is safe for concurrent use.
 type Gatekeeper struct {
 	settings      Settings
 	state         *state
--- a/internal/gatekeeper/gatekeeper_test.go
+++ b/internal/gatekeeper/gatekeeper_test.go
@@ -337,7 +337,7 @@
 
 // Guards against interrupted calls in a planned stop: the running call gets its full response, calls that
 // the balancer still sends are served, and each response closes its connection.
-func TestPlannedStopCutsNoCall(t *testing.T) {
+func TestPlannedStopInterruptsNoCall(t *testing.T) {
 	is := is.New(t)
 	s := start(t)
 	slow := make(chan struct{})
@@ -381,7 +381,7 @@
 
 // Guards against a stop that uses its full time limit with no call running, because callers ignore
 // readiness and keep sending. Each call is answered or refused, and the process exits in time.
-func TestStopEndsThoughCallersComeOn(t *testing.T) {
+func TestStopCompletesWhileCallersKeepSending(t *testing.T) {
 	is := is.New(t)
 	s := start(t)
 	s.targets.put(t, "t1", target(t, func(w http.ResponseWriter) { _, _ = fmt.Fprint(w, "complete") }))
--- a/internal/gatekeeper/handlers.go
+++ b/internal/gatekeeper/handlers.go
@@ -30,9 +30,9 @@
 }
 
 // Read implements watcher.Handler.
-func (h handlers) Read(away time.Duration) {
+func (h handlers) Read(outage time.Duration) {
 	for _, k := range h {
-		k.Read(away)
+		k.Read(outage)
 	}
 }
 
--- a/internal/gatekeeper/refusal_reporter.go
+++ b/internal/gatekeeper/invalid_record_reporter.go
@@ -11,34 +11,35 @@
 )
 
 const (
-	// lineBurst is how many lines about refused records may be logged at once, and lineInterval
-	// the sustained interval between them. A writer in a loop produces thousands of records a
-	// second; logging each would fill the disk and delay the lines about calls. The counters
-	// include every record.
+	// lineBurst is how many log lines about invalid records may be written at once, and lineInterval
+	// the interval between further lines. A writer in a loop produces thousands of records a
+	// second; logging each would fill the disk and delay the lines about calls. The metrics
+	// count every record.
 	lineBurst    = 20
 	lineInterval = time.Second
 	// maxErrorBytes limits the length of a logged error, which may contain names of any length.
 	maxErrorBytes = 256
 )
 
-// counter counts records that can't be used.
+// counter counts invalid records.
 type counter interface {
 	UnusableRecord(stream, reason string)
 }
 
-// refusalReporter counts the unusable records of a stream and logs them at a limited rate. It is
+// invalidRecordReporter counts the invalid records of a stream and logs them at a limited rate. It is
 // not safe for concurrent use.
-type refusalReporter struct {
+type invalidRecordReporter struct {
 	stream  string
 	counter counter
-	// fullBurstAt is when lineBurst lines may be logged at once again; each line adds lineInterval.
+	// fullBurstAt is the time from which lineBurst lines may be logged at once again. Each line that
+	// is logged postpones it by lineInterval.
 	fullBurstAt time.Time
 	// suppressed counts the records that were not logged.
 	suppressed int
 }
 
-// report counts a refused record, and logs it if the rate permits.
-func (r *refusalReporter) report(err error, f logrus.Fields) {
+// report counts an invalid record, and logs it with the fields f if the rate permits.
+func (r *invalidRecordReporter) report(err error, f logrus.Fields) {
 	x, field := classify(err)
 	r.counter.UnusableRecord(r.stream, string(x))
 
@@ -59,7 +60,7 @@
 }
 
 // flush logs the number of suppressed records, if the rate permits.
-func (r *refusalReporter) flush() {
+func (r *invalidRecordReporter) flush() {
 	if r.suppressed == 0 || !r.allowLine() {
 		return
 	}
@@ -69,7 +70,7 @@
 }
 
 // allowLine reports whether a line may be logged now, and counts it against the rate.
-func (r *refusalReporter) allowLine() bool {
+func (r *invalidRecordReporter) allowLine() bool {
 	n := time.Now()
 	if r.fullBurstAt.Before(n) {
 		r.fullBurstAt = n
@@ -84,7 +85,8 @@
 	return true
 }
 
-// classify returns the reason from a fixed set why a record can't be used, and the invalid field.
+// classify returns the kind of fault of an invalid record, one of a fixed set, and the name of the
+// invalid field if it is known.
 func classify(err error) (watcher.Fault, string) {
 	var u *watcher.RecordError
 
--- a/internal/gatekeeper/members.go
+++ b/internal/gatekeeper/members.go
@@ -52,7 +52,7 @@
 	x := gossiper.Member{ID: uint64(id), Address: m.Address(), Region: s.Region, DataCentre: s.DataCentre}
 	r := mathrand.New(mathrand.NewPCG(x.ID, 0)) //nolint:gosec // Spreads messages.
 	j := joiner.New(m, emptyDirectory{}, gossiper.New(gossiper.DefaultSettings(), r, x), x, s.Seeds, joiner.Hooks{
-		Revision:        f.version,
+		Revision:        f.catalogVersion,
 		OnNewerRevision: func(netip.AddrPort, uint64) {},
 		OnTargetChange:  func(recorder.Instance) {},
 	})
@@ -65,9 +65,10 @@
 	return repeater.New(m, j, c, s.linkRate())
 }
 
-// instancePeakWindow is how long the largest observed number of instances is retained. Unreachable
-// instances may still be running and spending their part of the retry budget; a data centre that
-// is partitioned must not spend the part of the others.
+// instancePeakWindow is how long the largest observed number of instances is retained. The
+// retry budget is divided among that many instances. Instances that this one can't reach may still be
+// running and use their parts of the budget, so the instances in a partitioned data centre must not
+// use these parts as well.
 const instancePeakWindow = time.Minute
 
 // peak tracks the largest number of instances observed within a window. It is safe for concurrent
@@ -78,7 +79,8 @@
 
 	mu      sync.Mutex
 	highest int
-	at      time.Time
+	// at is when highest was last set.
+	at time.Time
 }
 
 func (p *peak) value() int {
--- a/internal/gatekeeper/metrics.go
+++ b/internal/gatekeeper/metrics.go
@@ -8,7 +8,7 @@
 
 // registerMetrics registers the metrics that are read on demand.
 func (g *Gatekeeper) registerMetrics(m *meter.Meter) {
-	m.RegisterGauge("catalog_version", func() float64 { return float64(g.state.version()) })
+	m.RegisterGauge("catalog_version", func() float64 { return float64(g.state.catalogVersion()) })
 	m.RegisterGauge("catalog_age_seconds", func() float64 { return time.Since(g.state.lastConfirmed()).Seconds() })
 	m.RegisterGauge("targets", func() float64 { return float64(len(g.state.Registry().Known)) })
 	m.RegisterGauge("data_centres_evacuated", func() float64 { return float64(len(g.state.evacuations().Begun)) })
--- a/internal/gatekeeper/options.go
+++ b/internal/gatekeeper/options.go
@@ -37,12 +37,13 @@
 	// drainNotice is how long a load balancer needs to stop sending calls if it checks readiness
 	// once a second and acts on two equal answers in a row.
 	drainNotice = 2500 * time.Millisecond
-	// lifecycleTimeout limits the start, and the stop if the settings change to an unreasonable
-	// time.
+	// lifecycleTimeout limits the start, and also the stop in case its time limit in the settings is
+	// changed to an even longer time.
 	lifecycleTimeout = time.Hour
-	// configReadPause is the pause between reads of a configuration that changes constantly.
+	// configReadPause is the pause between reads of the configuration while it changes constantly.
 	// targetReadPauseFraction is the pause between reads of the targets, as a fraction of the time
-	// available for waits. Each read has a cost.
+	// within which changes must be in force. Without pauses, reads would follow each other at once,
+	// and each has a cost.
 	configReadPause         = 100 * time.Millisecond
 	targetReadPauseFraction = 0.3
 )
@@ -115,12 +116,13 @@
 	return x
 }
 
-// settledAfter is how long an instance must have run to know the other instances: gossip has
-// reached it several times by then.
+// settledAfter is how long after its start an instance knows the other instances: by then it has
+// received several gossip messages.
 const settledAfter = 3 * time.Second
 
-// shareRetention is how long instances that are gone retain their shares of the calls at cold
-// targets. It is longer than most network partitions last.
+// shareRetention is how long instances that have disappeared retain their shares of the calls at cold
+// targets, since they may be on the other side of a network partition and use them there. It is longer
+// than most network partitions last.
 const shareRetention = time.Hour
 
 func newSelector(s Settings, j *joiner.Joiner) *selector.Selector {
@@ -164,7 +166,7 @@
 	c, t := r.AddStream(config, w.Config, d), r.AddStream(targets, w.Targets, e)
 	f.lastConfirmed = c.ConfirmedAt
 	m.Handle(wire.KindStream, r.Answer)
-	m.Handle(wire.KindGossip, j.Gossip)
+	m.Handle(wire.KindGossip, j.HandleGossip)
 
 	i := advertiser.New(m, j, x)
 	m.Handle(wire.KindUpdate, i.HandleUpdate)
@@ -180,14 +182,14 @@
 			watcher.New(config, c, handlers{
 				// Evacuations come first: a starting instance must know them before it has a catalog.
 				&evacuationHandler{
-					state: f, decode: w.DecodeEvacuation, records: newSeenRecords(), refusals: &refusalReporter{stream: config, counter: p.Meter},
+					state: f, decode: w.DecodeEvacuation, records: newSeenRecords(), reporter: &invalidRecordReporter{stream: config, counter: p.Meter},
 				},
 				&configHandler{
-					state: f, key: w.ConfigKey, decode: w.DecodeConfig, refusals: &refusalReporter{stream: config, counter: p.Meter},
+					state: f, key: w.ConfigKey, decode: w.DecodeConfig, reporter: &invalidRecordReporter{stream: config, counter: p.Meter},
 				},
 			}, configReadPause, d),
 			watcher.New(targets, t, &targetHandler{
-				state: f, decode: w.DecodeTarget, records: newSeenRecords(), refusals: &refusalReporter{stream: targets, counter: p.Meter},
+				state: f, decode: w.DecodeTarget, records: newSeenRecords(), reporter: &invalidRecordReporter{stream: targets, counter: p.Meter},
 			}, time.Duration(targetReadPauseFraction*float64(e)), e),
 		},
 	}
--- a/internal/gatekeeper/seen_records.go
+++ b/internal/gatekeeper/seen_records.go
@@ -9,9 +9,10 @@
 // errStaleList marks a full list that is older than a state that was already observed.
 var errStaleList = errors.New("list is older than a state already observed")
 
-// maxUnapplied limits the remembered keys without an applied record: a writer that keeps creating keys
-// could exhaust the memory. At about 300 bytes each they take at most 1.2 MB. Above the limit all
-// of them are forgotten, and an older list that contains one is recognized by its end only.
+// maxUnapplied limits the stored keys whose newest record was not applied: a writer that keeps creating
+// keys could exhaust the memory. At about 300 bytes each they take at most 1.2 MB. Above the limit all
+// of them are deleted. A stale list that contains one of them is then recognized only by its end or
+// by other keys.
 const maxUnapplied = 4096
 
 // outcome is what happened to the newest record of a key.
@@ -19,7 +20,7 @@
 
 const (
 	applied outcome = iota
-	refused
+	invalid
 	deleted
 )
 
@@ -60,12 +61,12 @@
 	}
 
 	if s.unapplied++; s.unapplied > maxUnapplied {
-		s.forgetUnapplied()
+		s.pruneUnapplied()
 	}
 }
 
-// forgetUnapplied removes the keys whose newest record was refused or deleted.
-func (s *seenRecords) forgetUnapplied() {
+// pruneUnapplied removes the keys whose newest record was invalid or deleted.
+func (s *seenRecords) pruneUnapplied() {
 	for k, x := range s.keys {
 		if x.outcome != applied {
 			delete(s.keys, k)
@@ -87,11 +88,12 @@
 // checkNotStale fails with errStaleList when a list, identified by the offsets of its keys and its
 // end, is older than a state that was already observed.
 //
-// Applying such a list would restore targets that left, whose addresses may belong to others by
-// now, and remove targets that joined: calls to both fail until the next full list. Offsets only
-// increase, so a key with a lower offset than already observed proves an older state, whatever end
-// the list claims. A missing key that was observed at or after the end proves it too. Any other
-// list is accepted: a missing key in a list with a newer end was deleted.
+// Applying such a list would restore targets that left, whose addresses may belong to other processes
+// by now, and remove targets that joined. Calls to the former would fail, and the latter would get no
+// calls until the next full list. Offsets only increase, so a key with a lower offset than already
+// observed proves an older state, whatever end the list states. A key that is missing from the list
+// but was observed at or after the list's end also proves it. Any other list is accepted: a key that
+// is missing from a list with a newer end was deleted.
 func (s *seenRecords) checkNotStale(newest map[string]int64, end int64) error {
 	for k, x := range s.keys {
 		o, ok := newest[k]
--- a/internal/gatekeeper/servers.go
+++ b/internal/gatekeeper/servers.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// headerTimeout is how long a caller may take to send its headers. Healthy callers need one
+	// headerTimeout is how long a caller may take to send its headers, which usually fit into one
 	// or two packets. The catalog may set a lower limit.
 	headerTimeout = 10 * time.Second
 	// maxHeaderBytes and maxBodyBytes limit the requests of callers, whatever the catalog sets.
@@ -81,7 +81,7 @@
 func (g *Gatekeeper) answerReady(c *gin.Context) {
 	r := g.state.Registry()
 	// If all data centres are evacuated the instance is ready: refusals state when to retry.
-	if g.state.Catalog() == nil || len(r.Groups)+len(r.Closed) == 0 || !g.drainer.Ready() || g.forwarder.CutOff() {
+	if g.state.Catalog() == nil || len(r.Groups)+len(r.Evacuated) == 0 || !g.drainer.Ready() || g.forwarder.CutOff() {
 		c.Status(http.StatusServiceUnavailable)
 
 		return
--- a/internal/gatekeeper/settings.go
+++ b/internal/gatekeeper/settings.go
@@ -17,7 +17,8 @@
 type Settings struct {
 	Name       string
 	DataCentre string
-	// Callers is the address for calls, Ready the one at which the balancer checks readiness.
+	// Callers is the address at which calls are served, and Ready the address at which the balancer
+	// checks readiness.
 	Callers netip.AddrPort
 	Ready   netip.AddrPort
 	// Peers is the address for messages from other instances.
@@ -25,7 +26,8 @@
 	Region string
 	// Regions maps the names of data centres to their regions.
 	Regions map[string]string
-	// MaxFactor is the multiple of its group's mean load that a target may have; zero means 2.
+	// MaxFactor bounds the load of a target: it may be at most MaxFactor times the mean load of the
+	// target's group. Zero means 2.
 	MaxFactor float64
 	// ApplyWithin is the time within which a change of the configuration or the targets must be in force
 	// at all instances; zero means DefaultApplyWithin. The wait times of reads are derived from it.
@@ -38,9 +40,9 @@
 	Tunables
 }
 
-// DefaultApplyWithin is the default time within which changes are in force. It is limited to
-// minWithin, as reads take time, and to maxWithin, as callers don't wait until an outdated
-// configuration is replaced.
+// DefaultApplyWithin is the default of Settings.ApplyWithin. The setting is clamped to the range from
+// minWithin to maxWithin: reads take time, and callers must not be served by an outdated
+// configuration for long.
 const (
 	DefaultApplyWithin = 2 * time.Second
 	minWithin          = time.Second
@@ -67,9 +69,8 @@
 }
 
 // Tunables are the settings that may change while an instance runs.
-// Seeds are the addresses of a few other instances, used to join them.
 type Tunables struct {
-	// Seeds are where a few of the other instances may be found.
+	// Seeds are the addresses of a few other instances, used to join them.
 	Seeds []netip.AddrPort
 	// StopTimeout is the time limit of a planned stop.
 	StopTimeout time.Duration
@@ -79,7 +80,7 @@
 	Cold throttler.Settings
 }
 
-// Environment describes the surroundings of a gateway: the sources of its catalog and targets, and the
+// Environment describes what a gateway depends on: the sources of its catalog and targets, and the
 // protocol of callers and targets.
 type Environment struct {
 	Dialect forwarder.Dialect
--- a/internal/gatekeeper/state.go
+++ b/internal/gatekeeper/state.go
@@ -36,8 +36,7 @@
 	evacuator  *evacuator.Evacuator
 	// targetsRead reports whether the list of targets was read.
 	targetsRead bool
-	// sourceRegistry, sourceCatalog and sourceEvacuations are those that the published registry was
-	// derived from.
+	// The published registry was derived from sourceRegistry, sourceCatalog and sourceEvacuations.
 	sourceRegistry    *discoverer.Registry
 	sourceCatalog     *cataloger.Catalog
 	sourceEvacuations *evacuator.State
@@ -66,8 +65,8 @@
 // Registry implements forwarder.ClusterState.
 func (s *state) Registry() *discoverer.Registry { return s.registry.Load() }
 
-// version returns the version of the catalog in force; zero means none.
-func (s *state) version() uint64 {
+// catalogVersion returns the version of the catalog in force; zero means none.
+func (s *state) catalogVersion() uint64 {
 	c := s.catalog.Load()
 	if c == nil {
 		return 0
@@ -79,8 +78,8 @@
 // Instances implements forwarder.ClusterState.
 func (s *state) Instances() int { return s.instances() }
 
-// freshFraction is how long after the platform confirmed the catalog the absence of a rule or key
-// is certain, as a fraction of the time within which changes are in force.
+// freshFraction is a fraction of applyWithin. Until that time has passed since the platform last
+// confirmed the catalog, a rule or key that is missing from the catalog certainly does not exist.
 const freshFraction = 0.95
 
 // Fresh implements forwarder.ClusterState.
@@ -122,14 +121,15 @@
 // signalSynced closes synced when there is a catalog and a list of targets. The caller holds the lock.
 //
 // An instance that has just started reads its catalog a few milliseconds before its targets. Calls
-// admitted in between would be refused for lack of a target, and callers retry at most once.
+// admitted between these two reads would be refused for lack of a target, and callers retry at most
+// once.
 func (s *state) signalSynced() {
 	if s.targetsRead && s.catalog.Load() != nil {
 		s.closeSynced.Do(func() { close(s.synced) })
 	}
 }
 
-// updateTargets changes the list of targets and publishes it.
+// updateTargets changes the list of targets by calling u, and publishes it.
 func (s *state) updateTargets(u func(now time.Time, d *discoverer.Discoverer)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -155,7 +155,7 @@
 	return s.evacuator.State()
 }
 
-// updateEvacuations changes the evacuations and publishes the result.
+// updateEvacuations changes the evacuations by calling u, and publishes the result.
 func (s *state) updateEvacuations(u func(now time.Time, e *evacuator.Evacuator)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -164,8 +164,8 @@
 	s.publish()
 }
 
-// stageTargets changes the list of targets without publishing it; the end of the read that
-// contained the change does.
+// stageTargets changes the list of targets without publishing it. The change is published at the end
+// of the read that contained it.
 func (s *state) stageTargets(u func(now time.Time, d *discoverer.Discoverer)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -196,12 +196,12 @@
 	s.onRegistryChange(r)
 }
 
-// inCatalog returns a list without the targets of groups that the catalog does not contain. It
-// returns the same list if there are none, or no catalog yet.
+// inCatalog returns a registry without the targets of groups that the catalog does not contain. It
+// returns l itself if there are no such targets, or if there is no catalog yet.
 //
-// Other programs may register targets of groups that do not belong to this fleet. They get no
-// calls, but their data centres would count in the detection of network partitions, and the
-// instance would report ready with no usable target.
+// Other programs may register targets of groups that do not belong to this fleet. Such targets get
+// no calls, but if they remained in the registry, their data centres would count in the detection
+// of network partitions, and the instance would report ready with no usable target.
 func inCatalog(l *discoverer.Registry, c *cataloger.Catalog) *discoverer.Registry {
 	if c == nil {
 		return l
@@ -222,14 +222,14 @@
 	return s.discoverer.Lookup(id)
 }
 
-// resetTargets replaces the list of targets, and drops at once the targets whose keys have invalid
-// entries.
-func (s *state) resetTargets(l []discoverer.Target, none []string) {
+// resetTargets replaces the list of targets, and drops at once the targets with the given IDs, whose
+// entries are invalid.
+func (s *state) resetTargets(l []discoverer.Target, invalidIDs []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
 	n := time.Now()
-	for _, id := range none {
+	for _, id := range invalidIDs {
 		s.discoverer.Drop(id)
 	}
 
--- a/internal/gatekeeper/state_test.go
+++ b/internal/gatekeeper/state_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// Guards against one registry per change: when 3,000 targets registered within seconds, an instance
+// Guards against publishing a registry for each change: when 3,000 targets registered within seconds, an instance
 // with 0.2 cores could not keep up, its reads were late, and it requested full lists repeatedly.
 // The changes of one read are published as one registry.
 func TestOneReadPublishesOneRegistry(t *testing.T) {
--- a/internal/gatekeeper/stop.go
+++ b/internal/gatekeeper/stop.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// stopMargin is the part of the time limit that a stop leaves unused, so that it completes by
-	// itself and logs the calls that it interrupted.
+	// stopMargin is the part of the stop's time limit that is left unused, so that the process exits by
+	// itself, before it is killed, and logs how many calls it interrupted.
 	stopMargin = 300 * time.Millisecond
 	// advanceInterval is the interval of checks whether a stop may proceed.
 	advanceInterval = 50 * time.Millisecond
@@ -73,9 +73,9 @@
 	_ = g.metricsServer.Close()
 }
 
-// awaitBackground waits for the background goroutines up to a time, and reports whether they
+// awaitBackground waits for the background goroutines, for at most limit, and reports whether they
 // ended. A goroutine that hangs must not delay the exit until the process is killed.
-func (g *Gatekeeper) awaitBackground(most time.Duration) bool {
+func (g *Gatekeeper) awaitBackground(limit time.Duration) bool {
 	d := make(chan struct{})
 
 	go func() {
@@ -86,7 +86,7 @@
 	select {
 	case <-d:
 		return true
-	case <-time.After(most):
+	case <-time.After(limit):
 		return false
 	}
 }
--- a/internal/gatekeeper/target_handler.go
+++ b/internal/gatekeeper/target_handler.go
@@ -16,7 +16,7 @@
 	state    *state
 	decode   func(key string, b []byte) (discoverer.Target, error)
 	records  *seenRecords
-	refusals *refusalReporter
+	reporter *invalidRecordReporter
 }
 
 var _ watcher.Handler = (*targetHandler)(nil)
@@ -31,8 +31,8 @@
 	h.records.markMissingDeleted(n)
 
 	var (
-		targets []discoverer.Target
-		none    []string
+		targets    []discoverer.Target
+		invalidIDs []string
 	)
 
 	for _, r := range l {
@@ -48,11 +48,11 @@
 			continue
 		}
 
-		none = append(none, r.Key)
-		h.reportRefused(r, err)
+		invalidIDs = append(invalidIDs, r.Key)
+		h.reportInvalid(r, err)
 	}
 
-	h.state.resetTargets(targets, none)
+	h.state.resetTargets(targets, invalidIDs)
 
 	return nil
 }
@@ -72,21 +72,22 @@
 	t, err := h.decode(r.Key, r.Value)
 	if !h.usable(r, err) {
 		h.state.stageTargets(func(_ time.Time, d *discoverer.Discoverer) { d.Drop(r.Key) })
-		h.reportRefused(r, err)
+		h.reportInvalid(r, err)
 
 		return
 	}
 
-	wasRefused := h.records.keys[r.Key].outcome == refused
+	wasInvalid := h.records.keys[r.Key].outcome == invalid
 	h.records.set(r.Key, seenRecord{offset: r.Offset, outcome: applied})
-	h.apply(h.withReadTime(t, r.Offset), r.Offset, wasRefused)
+	h.apply(h.withReadTime(t, r.Offset), r.Offset, wasInvalid)
 }
 
-// usable reports whether an entry names a target, and reports the parts that can't be decoded.
+// usable returns whether an entry names a target although parts of it may be invalid. It counts and
+// logs such parts. The error is that of decoding the entry.
 func (h *targetHandler) usable(r watcher.Record, err error) bool {
 	if err != nil && errors.Is(err, watcher.ErrPartial) {
 		if !h.records.contains(r) {
-			h.refusals.report(err, logrus.Fields{"event": "targetUnclear", "target": r.Key, "offset": r.Offset})
+			h.reporter.report(err, logrus.Fields{"event": "targetUnclear", "target": r.Key, "offset": r.Offset})
 		}
 
 		return true
@@ -103,12 +104,12 @@
 	return t.WithReadTime(time.Now(), o)
 }
 
-// apply adds a target or changes its entry. Log lines about keys that are overwritten repeatedly
-// are limited like those about refused records.
-func (h *targetHandler) apply(t discoverer.Target, offset int64, wasRefused bool) {
+// apply adds a target or changes its entry. If a key's entry was invalid before, the log line counts
+// against the limit of lines about invalid records, since a writer may alternate between the two.
+func (h *targetHandler) apply(t discoverer.Target, offset int64, wasInvalid bool) {
 	h.state.stageTargets(func(_ time.Time, d *discoverer.Discoverer) {
 		o, ok := d.Lookup(t.ID)
-		if (!ok || o.Draining != t.Draining) && (!wasRefused || h.refusals.allowLine()) {
+		if (!ok || o.Draining != t.Draining) && (!wasInvalid || h.reporter.allowLine()) {
 			logrus.WithFields(logrus.Fields{
 				"event": "targetListed", "target": t.ID, "group": t.Group, "address": t.Address,
 				"draining": t.Draining, "offset": offset,
@@ -131,22 +132,23 @@
 	})
 }
 
-// reportRefused reports an invalid entry, unless it was reported before: full lists repeat entries.
-func (h *targetHandler) reportRefused(r watcher.Record, err error) {
-	if m, ok := h.records.keys[r.Key]; ok && m.outcome == refused && m.offset == r.Offset {
+// reportInvalid reports an invalid entry, unless it was reported before: a full list contains entries
+// that were read before.
+func (h *targetHandler) reportInvalid(r watcher.Record, err error) {
+	if m, ok := h.records.keys[r.Key]; ok && m.outcome == invalid && m.offset == r.Offset {
 		return
 	}
 
-	h.records.set(r.Key, seenRecord{offset: r.Offset, outcome: refused})
-	h.refusals.report(err, logrus.Fields{"event": "targetRefused", "target": r.Key, "offset": r.Offset})
+	h.records.set(r.Key, seenRecord{offset: r.Offset, outcome: invalid})
+	h.reporter.report(err, logrus.Fields{"event": "targetRefused", "target": r.Key, "offset": r.Offset})
 }
 
 // Read implements watcher.Handler.
-func (h *targetHandler) Read(away time.Duration) {
+func (h *targetHandler) Read(outage time.Duration) {
 	h.state.updateTargets(func(n time.Time, d *discoverer.Discoverer) {
-		d.RecordOutage(n, away)
+		d.RecordOutage(n, outage)
 	})
-	h.refusals.flush()
+	h.reporter.flush()
 }
 
 // Failed implements watcher.Handler.
--- a/internal/gatekeeper/target_handler_test.go
+++ b/internal/gatekeeper/target_handler_test.go
@@ -28,7 +28,7 @@
 	c := counts{}
 
 	return &targetHandler{
-		state: f, records: newSeenRecords(), refusals: &refusalReporter{stream: "targets", counter: c},
+		state: f, records: newSeenRecords(), reporter: &invalidRecordReporter{stream: "targets", counter: c},
 		decode: func(key string, b []byte) (discoverer.Target, error) {
 			if strings.HasPrefix(string(b), "bad") {
 				return discoverer.Target{}, &watcher.RecordError{Fault: watcher.InvalidValue, Field: "state"}
--- a/internal/gossiper/assign.go
+++ b/internal/gossiper/assign.go
@@ -25,9 +25,9 @@
 //
 // A router that ranks first for several keys remains the home of the key for which its
 // score is highest. Each of the other keys, in ascending order, is assigned to the next
-// router in its rank that is not a home yet. Otherwise several busy cells could have the
-// same home by chance and exceed its budget of control traffic, while hundreds of routers
-// are home to none.
+// router in its rank that is not a home yet. Without this rule, one router could by chance be
+// the home of several busy cells and exceed its budget of control traffic, while hundreds
+// of routers are the home of none.
 //
 // The result depends only on the routers and the keys, so that all routers with the same
 // view agree. A router that joins or leaves changes the homes of the keys for which it
@@ -35,7 +35,7 @@
 func Assign(live []Member, keys []Key) map[uint64][]Member {
 	keys = slices.SortedFunc(slices.Values(keys), func(a, b Key) int { return cmp.Compare(a.Key, b.Key) })
 	o := make(map[uint64][]Member, len(keys))
-	// h maps each router that is a home to its key.
+	// h maps the ID of each router that is a home to the key that it is the home of.
 	h := make(map[uint64]uint64, len(keys))
 
 	for _, k := range keys {
@@ -68,8 +68,8 @@
 	return o
 }
 
-// preferUnassigned returns the routers with the first one that is not a home yet moved to
-// the front, or unchanged if all are homes.
+// preferUnassigned moves the first router that is not a home yet to the front of the list. It
+// returns the list unchanged if all are homes.
 func preferUnassigned(l []Member, homes map[uint64]uint64) []Member {
 	for i, m := range l {
 		if _, ok := homes[m.ID]; !ok {
--- a/internal/gossiper/gossip.go
+++ b/internal/gossiper/gossip.go
@@ -105,9 +105,9 @@
 	// introduced. Each receiver introduces it further, so that a few are enough for
 	// hundreds of routers.
 	maxIntroductions = 4
-	// introduceMaxBeats is the beat count from which a router is not introduced any more.
-	// At one beat a second, all routers know it after half that time. Without the limit,
-	// each new router would introduce to the others routers that they know already.
+	// introduceMaxBeats is the beat count from which a router is no longer introduced to
+	// others. At one beat a second, all routers know a router after half that time. Without
+	// the limit, each new router would introduce routers that the others know already.
 	introduceMaxBeats = 20
 	// maxNearMembers and maxFarMembers bound the introductions in a message, of about 60
 	// bytes each, for routers inside and outside the receiver's data centre. The routers
@@ -117,16 +117,16 @@
 	maxFarMembers  = 4
 )
 
-// introductions returns the routers to introduce to another one, those introduced least
-// often first. A beat contains only an ID. A receiver that does not know the ID has to
-// request the rest, and when all routers start at once, the routers that it requests it
-// from do not know it either.
+// introductions returns the introductions for a message to a router, those sent least often
+// first. Introductions are needed because a beat contains only an ID. A receiver that
+// does not know the ID has to request the introduction, and when all routers start at once,
+// the routers that receive this request do not know the ID either.
 func (g *Gossiper) introductions(to Member) []wire.Member {
 	var near, far []*entry
 
 	for _, e := range g.sorted() {
 		switch {
-		case e.ID == to.ID || e == g.self || e.leaving || e.count >= introduceMaxBeats:
+		case e.ID == to.ID || e == g.self || e.leaving || e.beatCount >= introduceMaxBeats:
 		case e.DataCentre == to.DataCentre && e.introducedNear < maxIntroductions:
 			near = append(near, e)
 		case e.DataCentre != to.DataCentre && e.introducedFar < maxIntroductions:
@@ -156,7 +156,7 @@
 func (g *Gossiper) beatOf(e *entry) wire.Heartbeat {
 	e.sent++
 
-	return wire.Heartbeat{ID: e.ID, Count: e.count, Leaving: e.leaving}
+	return wire.Heartbeat{ID: e.ID, Count: e.beatCount, Leaving: e.leaving}
 }
 
 // leastSent returns up to n entries, those whose beats were sent least often.
--- a/internal/gossiper/gossiper.go
+++ b/internal/gossiper/gossiper.go
@@ -28,15 +28,16 @@
 type entry struct {
 	Member
 
-	// count is that of the latest beat, which arrived at lastBeat.
-	count     uint32
+	// beatCount is the number in the router's latest beat, which arrived at lastBeat.
+	beatCount uint32
 	leaving   bool
 	lastBeat  time.Time
+	// suspected is when a call to the router last failed; zero if there was a beat since.
 	suspected time.Time
-	// sent is how often its beat was sent.
+	// sent is how often this router has sent the beat of the entry's router.
 	sent int
-	// introducedNear and introducedFar are the numbers of messages that introduced it to
-	// routers of its own data centre and of others.
+	// introducedNear and introducedFar are the numbers of messages in which the entry's
+	// router was introduced to routers of its own data centre and of others.
 	introducedNear, introducedFar int
 }
 
@@ -46,15 +47,16 @@
 	random   *rand.Rand
 	self     *entry
 	entries  map[uint64]*entry
-	unknown  map[uint64]bool
-	ticks    int
-	keys     []Key
-	view     view
+	// unknown contains the IDs in received beats for which there is no entry yet.
+	unknown map[uint64]bool
+	ticks   int
+	keys    []Key
+	view    view
 }
 
 // New returns a Gossiper that knows only self, the router that it runs on.
 func New(s Settings, r *rand.Rand, self Member) *Gossiper {
-	e := &entry{Member: self, count: 1}
+	e := &entry{Member: self, beatCount: 1}
 
 	return &Gossiper{
 		settings: s,
@@ -78,9 +80,9 @@
 			continue
 		}
 
-		// A process that starts while its clock is behind has a lower ID than its
-		// predecessor at the same address. It is accepted once the predecessor counts as
-		// dead, and delayed gossip about old processes is ignored until then.
+		// A lower ID is usually from delayed gossip about an earlier process at the address,
+		// and is ignored. But a process that starts while its clock is behind also has a
+		// lower ID than its predecessor; it is accepted once the predecessor counts as dead.
 		if e.ID > m.ID && g.live(now, e) || e == g.self {
 			return
 		}
@@ -102,7 +104,7 @@
 
 // Suspect excludes a router from the live ones for SuspectFor or until its next beat,
 // because a call to it failed. A failed call reveals a dead router within milliseconds,
-// missing beats only within seconds. Suspecting this router itself has no effect.
+// missing beats only within seconds. A call with the ID of this router has no effect.
 func (g *Gossiper) Suspect(now time.Time, id uint64) {
 	if e, ok := g.entries[id]; ok && e != g.self {
 		e.suspected = now
@@ -113,7 +115,7 @@
 // Tick increments this router's beat count and returns the gossip to send. The revision
 // is that of this router's configuration.
 func (g *Gossiper) Tick(now time.Time, revision uint64) []Message {
-	g.self.count++
+	g.self.beatCount++
 	g.self.lastBeat = now
 	g.ticks++
 	g.prune(now)
@@ -138,7 +140,7 @@
 	return o
 }
 
-// Receive applies gossip and returns the routers whose introductions the sender requested.
+// Receive applies gossip and returns the introductions that its sender requested.
 // Members with an invalid address are ignored.
 func (g *Gossiper) Receive(now time.Time, w wire.Gossip) []wire.Member {
 	for _, m := range w.Members {
@@ -195,11 +197,11 @@
 	return e.Address, true
 }
 
-// Homes returns the home of a key and the routers that succeed it, up to the given
-// number, as assigned by Assign. The result is empty only if this router is leaving and
+// Homes returns the home of a key and then the routers that would succeed it as home, as
+// assigned by Assign, at most number routers in total. The result is empty only if this router is leaving and
 // no other is live.
 func (g *Gossiper) Homes(now time.Time, key uint64, centres []string, number int) []Member {
-	o := g.viewAt(now).home(Key{Key: key, Centres: centres})
+	o := g.viewAt(now).homesOf(Key{Key: key, Centres: centres})
 
 	return o[:min(len(o), number)]
 }
@@ -223,7 +225,7 @@
 }
 
 // applyBeat records a router's beat. Only a higher count proves that the router is alive,
-// since gossip that was relayed for long contains counts that were received before.
+// since delayed gossip contains counts that were received before.
 func (g *Gossiper) applyBeat(now time.Time, b wire.Heartbeat) {
 	e, ok := g.entries[b.ID]
 	if !ok {
@@ -232,11 +234,11 @@
 		return
 	}
 
-	if e == g.self || b.Count <= e.count {
+	if e == g.self || b.Count <= e.beatCount {
 		return
 	}
 
-	e.count = b.Count
+	e.beatCount = b.Count
 	e.lastBeat = now
 
 	if !e.suspected.IsZero() || b.Leaving {
--- a/internal/gossiper/gossiper_test.go
+++ b/internal/gossiper/gossiper_test.go
@@ -40,7 +40,7 @@
 
 	for k := range n {
 		m := member(uint64(k+1), "dc-"+strconv.Itoa(k%centres))
-		m.ID |= 1 << 62 // Encoded as long as real IDs.
+		m.ID |= 1 << 62 // The ID is encoded in as many bytes as a real one.
 		f.order = append(f.order, m)
 		f.members[m.Address] = gossiper.New(gossiper.DefaultSettings(), rand.New(rand.NewPCG(uint64(k), 1)), m)
 	}
@@ -317,7 +317,7 @@
 			g := f.members[f.order[0].Address]
 
 			for b.Loop() {
-				// Moves back and forth, so that no router times out.
+				// The time moves back and forth, so that no router times out.
 				f.now = f.now.Add(step)
 				step = -step
 
--- a/internal/gossiper/settings.go
+++ b/internal/gossiper/settings.go
@@ -8,8 +8,8 @@
 type Settings struct {
 	// Fanout is the number of live routers that a tick sends to.
 	Fanout int
-	// NearBeats and FarBeats are the numbers of beats of this router's data centre and of
-	// others in a message.
+	// NearBeats and FarBeats bound the beats in a message that are of other routers in this
+	// router's data centre, and of routers in other data centres.
 	NearBeats, FarBeats int
 	// NearTimeout and FarTimeout are the times for which a router of this router's data
 	// centre, or of another, counts as live after its last new beat.
--- a/internal/gossiper/view.go
+++ b/internal/gossiper/view.go
@@ -7,7 +7,7 @@
 
 // viewTTL is how long a view is used before the live routers are determined again. Each
 // request needs a few homes, and computing them each time would use a twentieth of a core
-// at the design size.
+// in a fleet of the size that the system is designed for.
 const viewTTL = 200 * time.Millisecond
 
 // view caches the results that follow from the entries. The zero view is empty.
@@ -42,9 +42,9 @@
 	g.view.at = time.Time{}
 }
 
-// home returns the routers for a key, its home first. The home of a key that was not
+// homesOf returns the routers for a key, its home first. The home of a key that was not
 // passed to SetKeys is its highest-ranked router, even if that is home to other keys too.
-func (v *view) home(k Key) []Member {
+func (v *view) homesOf(k Key) []Member {
 	if o, ok := v.homes[k.Key]; ok {
 		return o
 	}
--- a/internal/joiner/joiner.go
+++ b/internal/joiner/joiner.go
@@ -48,14 +48,16 @@
 	revision  func() uint64
 	// onNewerRevision is called for peers with a newer configuration revision.
 	onNewerRevision func(a netip.AddrPort, revision uint64)
-	// onTarget is called for changes of targets in the platform's list.
-	onTarget func(recorder.Instance)
+	// onTargetChange is called for changes of targets in the platform's list.
+	onTargetChange func(recorder.Instance)
 
 	mu       sync.Mutex
 	seeds    []netip.AddrPort
 	gossiper *gossiper.Gossiper
-	listed   map[netip.AddrPort]bool
-	version  uint64
+	// listed contains the addresses of the routers in the platform's list.
+	listed map[netip.AddrPort]bool
+	// version is the version of the platform's list as last read. Only readList uses it.
+	version uint64
 }
 
 // NewID returns an ID for this process from the current time, random bits and the class of its link (see
@@ -87,7 +89,7 @@
 func New(m messenger, l lister, g *gossiper.Gossiper, self gossiper.Member, seeds []netip.AddrPort, h Hooks) *Joiner {
 	return &Joiner{
 		messenger: m, lister: l, seeds: seeds, self: self, gossiper: g,
-		revision: h.Revision, onNewerRevision: h.OnNewerRevision, onTarget: h.OnTargetChange,
+		revision: h.Revision, onNewerRevision: h.OnNewerRevision, onTargetChange: h.OnTargetChange,
 		listed: make(map[netip.AddrPort]bool),
 	}
 }
@@ -115,9 +117,9 @@
 	}
 }
 
-// Gossip handles a gossip message from another router. It never returns a reply, and
+// HandleGossip handles a gossip message from another router. It never returns a reply, and
 // fails with ErrGossip if the message is invalid.
-func (j *Joiner) Gossip(c context.Context, from uint64, body []byte) (msgp.Marshaler, error) {
+func (j *Joiner) HandleGossip(c context.Context, from uint64, body []byte) (msgp.Marshaler, error) {
 	var w wire.Gossip
 	if _, err := w.UnmarshalMsg(body); err != nil {
 		return nil, errors.Mark(err, ErrGossip)
@@ -137,9 +139,9 @@
 		go j.onNewerRevision(a, w.Revision)
 	}
 
-	// A router that was unknown receives the introductions immediately. The two routers then
-	// know each other after one message instead of at a random later round, and the new one
-	// learns the routers of its data centre.
+	// A sender that was unknown receives introductions immediately. The two routers then know
+	// each other after one message instead of at a random later round, and the new router
+	// learns of the routers in its data centre.
 	if !known {
 		m = append(m, j.introductionsFor(from)...)
 	}
@@ -174,8 +176,8 @@
 	return o[0], true
 }
 
-// Successor returns the router that would become the home of a key without this one. It
-// returns false if this router is not the home or there is no other.
+// Successor returns the router that would become the home of a key if this router left. It
+// returns false if this router is not the home, or if there is no other router.
 func (j *Joiner) Successor(key uint64, centres []string) (gossiper.Member, bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -305,7 +307,7 @@
 
 	for _, i := range l.Instances {
 		if i.Role != roleRouter {
-			j.onTarget(i)
+			j.onTargetChange(i)
 
 			continue
 		}
--- a/internal/replicator/message.go
+++ b/internal/replicator/message.go
@@ -52,15 +52,17 @@
 	return nil, nil //nolint:nilnil // Without reply.
 }
 
-// HandleRelay merges the records sent by an instance of another data centre and forwards them in the own one.
-// It fails with ErrSuspects if the message cannot be decoded, and does not forward it then.
+// HandleRelay merges the records sent by an instance of another data centre and forwards them to the
+// instances of its own data centre. If the message cannot be decoded, it is not forwarded, and HandleRelay
+// fails with ErrSuspects.
 func (r *Replicator) HandleRelay(c context.Context, from uint64, body []byte) (msgp.Marshaler, error) {
 	if _, err := r.HandleUpdate(c, from, body); err != nil {
 		return nil, err
 	}
 
-	// The connection on which it arrived may close before all are notified.
-	r.broadcaster.Local(context.WithoutCancel(c), kinds, msgp.Raw(body))
+	// The context ends with the connection on which the message arrived, which may close before all
+	// instances are notified.
+	r.broadcaster.Local(context.WithoutCancel(c), broadcastKinds, msgp.Raw(body))
 
 	return nil, nil //nolint:nilnil // Without reply.
 }
@@ -91,8 +93,8 @@
 	return m
 }
 
-// reply returns what the sender of a response may lack, including the records of the calls that the
-// response names, which may have been served since.
+// reply returns the records that the sender of the response m may lack. They include the records of the
+// calls in m, since these calls may have been served after the sender recorded their crashes.
 func (r *Replicator) reply(m *wire.Suspects) *wire.Suspects {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -110,9 +112,9 @@
 	return o
 }
 
-// syncWith requests all records of another instance and sends it those that it lacks. It returns the time
-// until the next exchange and whether the instance answered. New records are forwarded in the own data
-// centre, whose instances are likely to have missed them too.
+// syncWith requests all records of another instance, and sends that instance the records that it lacks.
+// It returns the time until the next exchange and whether the instance answered. Records that were new to
+// this instance are forwarded to the others of its data centre, which are likely to have missed them too.
 func (r *Replicator) syncWith(c context.Context, m gossiper.Member) (next time.Duration, ok bool) {
 	x, stop := context.WithTimeout(c, syncTimeout)
 	defer stop()
@@ -131,7 +133,7 @@
 	next = syncInterval
 
 	if r.merge(&p) {
-		r.broadcaster.Local(c, kinds, &p)
+		r.broadcaster.Local(c, broadcastKinds, &p)
 	} else if len(p.Calls) >= maxRecords {
 		// There are more records than a message holds, and this response contained nothing new.
 		next = fullSyncInterval
@@ -154,9 +156,9 @@
 	o := &wire.Suspects{}
 
 	for _, r := range l {
-		s := wire.Suspect{Call: uint64(r.Call), LastSeenMs: age(now, r.LastSeen)}
+		s := wire.Suspect{Call: uint64(r.Call), LastSeenMs: ageMs(now, r.LastSeen)}
 		for _, e := range r.Crashes {
-			s.Crashes = append(s.Crashes, wire.SuspectCrash{Target: uint32(e.Process), AgeMs: age(now, e.At), Cleared: e.Cleared, ServedBefore: e.ServedBefore})
+			s.Crashes = append(s.Crashes, wire.SuspectCrash{Target: uint32(e.Process), AgeMs: ageMs(now, e.At), Cleared: e.Cleared, ServedBefore: e.ServedBefore})
 		}
 
 		o.Calls = append(o.Calls, s)
@@ -170,9 +172,9 @@
 	var o []quarantiner.Record
 
 	for _, s := range m.Calls {
-		r := quarantiner.Record{Call: digester.Digest(s.Call), LastSeen: before(now, s.LastSeenMs)}
+		r := quarantiner.Record{Call: digester.Digest(s.Call), LastSeen: timeAtAge(now, s.LastSeenMs)}
 		for _, e := range s.Crashes {
-			r.Crashes = append(r.Crashes, quarantiner.Crash{Process: discoverer.Name(e.Target), At: before(now, e.AgeMs), Cleared: e.Cleared, ServedBefore: e.ServedBefore})
+			r.Crashes = append(r.Crashes, quarantiner.Crash{Process: discoverer.Name(e.Target), At: timeAtAge(now, e.AgeMs), Cleared: e.Cleared, ServedBefore: e.ServedBefore})
 		}
 
 		o = append(o, r)
@@ -181,10 +183,12 @@
 	return o
 }
 
-func age(now, t time.Time) uint32 {
+// ageMs returns the age of a time in milliseconds, at least zero.
+func ageMs(now, t time.Time) uint32 {
 	return uint32(max(now.Sub(t).Milliseconds(), 0)) //nolint:gosec // Records expire long before the overflow.
 }
 
-func before(now time.Time, ms uint32) time.Time {
+// timeAtAge is the inverse of ageMs.
+func timeAtAge(now time.Time, ms uint32) time.Time {
 	return now.Add(-time.Duration(ms) * time.Millisecond)
 }
--- a/internal/replicator/replicator.go
+++ b/internal/replicator/replicator.go
@@ -1,4 +1,5 @@
-// Package replicator replicates the records of calls under which targets have crashed to all instances.
+// Package replicator replicates records of suspected calls to all instances. A call is suspected if targets
+// have crashed while they ran it.
 //
 // New records are broadcast at once, since the same call may be in transit through another instance
 // already. In addition each instance exchanges records with two others a second, in random order until all
@@ -27,17 +28,17 @@
 )
 
 const (
-	// batchDelay is how long new records are collected into one message: the calls affected by a crash are
-	// found within milliseconds of each other.
+	// batchDelay is how long new records are collected into one message: when a target crashes, the calls that
+	// ran there fail within milliseconds of each other.
 	batchDelay = 10 * time.Millisecond
 	// syncInterval is the interval between two exchanges. Six instances have all exchanged records after
 	// 2.5 s; the required bound is 3 s.
 	syncInterval = 500 * time.Millisecond
-	// fullSyncInterval is the interval while instances have more records than a message holds and receive the
-	// same ones again: about 12 KB for each exchange, where 9 KB a second are allowed for all control
-	// traffic.
+	// fullSyncInterval is the interval between two exchanges while an instance has more records than a message
+	// holds and its last response contained nothing new. Such an exchange takes about 12 KB, and all control
+	// traffic may take 9 KB a second.
 	fullSyncInterval = 5 * time.Second
-	// initialSyncInterval is the interval until the first exchange has succeeded.
+	// initialSyncInterval is the interval between two attempts until the first exchange has succeeded.
 	initialSyncInterval = 50 * time.Millisecond
 	// maxRecords bounds the records in a message, and so its size to a few kilobytes. Quarantined calls come
 	// first.
@@ -47,7 +48,7 @@
 )
 
 // kinds are the message kinds of broadcasts.
-var kinds = broadcaster.Kinds{Direct: wire.KindSuspects, Relay: wire.KindSuspectsRelay} //nolint:gochecknoglobals // A constant.
+var broadcastKinds = broadcaster.Kinds{Direct: wire.KindSuspects, Relay: wire.KindSuspectsRelay} //nolint:gochecknoglobals // A constant.
 
 // Replicator holds the records of this instance and replicates them. It is safe for concurrent use.
 type Replicator struct {
@@ -65,7 +66,8 @@
 	// there are any.
 	pending map[digester.Digest]bool
 	wake    chan struct{}
-	// unsaved and saveWake are the same for the store.
+	// unsaved are the calls whose records in the store must be updated; saveWake has an element when there
+	// are any.
 	unsaved  map[digester.Digest]bool
 	saveWake chan struct{}
 	// synced reports whether the calls quarantined before the start of this instance are known.
@@ -75,9 +77,9 @@
 	// onCrashes is called with the crashes reported by other instances.
 	onCrashes func(l []quarantiner.Crash)
 
-	// order holds the IDs of the instances still to be contacted in this round. It is accessed only by the
+	// uncontacted holds the IDs of the instances still to be contacted in this round. It is accessed only by the
 	// goroutine of syncLoop.
-	order []uint64
+	uncontacted []uint64
 }
 
 // Counts are the numbers of suspected calls, and of the events on this instance that concern them.
@@ -89,7 +91,7 @@
 	Crashes, Cleared int
 }
 
-// New returns a replicator without records. With a nil store, records are lost when all instances are.
+// New returns a replicator without records. With a nil store, the records are lost when all instances fail.
 func New(m Messenger, x broadcaster.Members, h Store, s quarantiner.Settings) *Replicator {
 	return &Replicator{
 		messenger: m, members: x, broadcaster: broadcaster.New(m, x), store: h, retention: s.Retention, quarantiner: quarantiner.New(s),
@@ -191,20 +193,20 @@
 func (r *Replicator) Run(c context.Context) {
 	var g sync.WaitGroup
 
-	g.Go(func() { r.broadcast(c) })
+	g.Go(func() { r.broadcastLoop(c) })
 	g.Go(func() { r.syncLoop(c) })
 	g.Go(func() { r.expireLoop(c) })
 
 	if r.store != nil {
 		g.Go(func() { r.restore(c) })
-		g.Go(func() { r.save(c) })
+		g.Go(func() { r.saveLoop(c) })
 	}
 
 	g.Wait()
 }
 
-// broadcast sends changed records to the other instances.
-func (r *Replicator) broadcast(c context.Context) {
+// broadcastLoop sends changed records to the other instances.
+func (r *Replicator) broadcastLoop(c context.Context) {
 	for {
 		select {
 		case <-r.wake:
@@ -215,7 +217,7 @@
 		sleeper.Sleep(c, batchDelay)
 
 		if m := r.takePending(); len(m.Calls) > 0 {
-			r.broadcaster.All(c, kinds, m)
+			r.broadcaster.All(c, broadcastKinds, m)
 		}
 	}
 }
@@ -242,12 +244,12 @@
 	return encode(time.Now(), r.quarantiner.RecordsOf(l))
 }
 
-// syncLoop exchanges records with one other instance after the other.
+// syncLoop exchanges records with the other instances, one at a time.
 func (r *Replicator) syncLoop(c context.Context) {
 	d := initialSyncInterval
 
 	for c.Err() == nil {
-		if m, ok := r.next(); ok {
+		if m, ok := r.nextPeer(); ok {
 			if next, answered := r.syncWith(c, m); answered {
 				d = next
 			}
@@ -257,8 +259,8 @@
 	}
 }
 
-// next returns the instance to exchange records with next. After each round the order is shuffled again.
-func (r *Replicator) next() (gossiper.Member, bool) {
+// nextPeer returns the instance to exchange records with next. After each round the order is shuffled again.
+func (r *Replicator) nextPeer() (gossiper.Member, bool) {
 	l := make(map[uint64]gossiper.Member)
 
 	for _, m := range r.members.Live() {
@@ -267,20 +269,20 @@
 		}
 	}
 
-	r.order = slices.DeleteFunc(r.order, func(id uint64) bool { _, ok := l[id]; return !ok })
+	r.uncontacted = slices.DeleteFunc(r.uncontacted, func(id uint64) bool { _, ok := l[id]; return !ok })
 
-	if len(r.order) == 0 {
+	if len(r.uncontacted) == 0 {
 		// The iteration order of a map is random, but not uniformly distributed.
-		r.order = slices.Collect(maps.Keys(l))
-		rand.Shuffle(len(r.order), func(a, b int) { r.order[a], r.order[b] = r.order[b], r.order[a] }) //nolint:gosec // Distributes work.
+		r.uncontacted = slices.Collect(maps.Keys(l))
+		rand.Shuffle(len(r.uncontacted), func(a, b int) { r.uncontacted[a], r.uncontacted[b] = r.uncontacted[b], r.uncontacted[a] }) //nolint:gosec // Distributes work.
 	}
 
-	if len(r.order) == 0 {
+	if len(r.uncontacted) == 0 {
 		return gossiper.Member{}, false
 	}
 
-	m := l[r.order[0]]
-	r.order = r.order[1:]
+	m := l[r.uncontacted[0]]
+	r.uncontacted = r.uncontacted[1:]
 
 	return m, true
 }
--- a/internal/replicator/replicator_test.go
+++ b/internal/replicator/replicator_test.go
@@ -38,7 +38,7 @@
 	mu sync.Mutex
 	// partitioned are the instances that are partitioned from all others.
 	partitioned map[int]bool
-	// bytes counts what the instances sent.
+	// bytes is the number of bytes that the instances have sent.
 	bytes int
 }
 
@@ -46,11 +46,12 @@
 type view struct {
 	*fleet
 
-	number int
+	// index is the position of the instance in members.
+	index int
 }
 
 func (v view) Live() []gossiper.Member { return v.members }
-func (v view) Self() gossiper.Member   { return v.members[v.number] }
+func (v view) Self() gossiper.Member   { return v.members[v.index] }
 
 func (v view) deliver(c context.Context, a netip.AddrPort, k wire.Kind, m msgp.Marshaler) (msgp.Marshaler, error) {
 	n := slices.IndexFunc(v.members, func(m gossiper.Member) bool { return m.Address == a })
@@ -62,7 +63,7 @@
 
 	v.mu.Lock()
 	v.bytes += len(b)
-	p := v.partitioned[n] || v.partitioned[v.number]
+	p := v.partitioned[n] || v.partitioned[v.index]
 	v.mu.Unlock()
 
 	if p {
@@ -198,8 +199,8 @@
 }
 
 // Guards against records missed during a network partition. An instance that was partitioned while a call
-// crashed three targets elsewhere must have the record within the required bound, as one that has just
-// started; and one that was partitioned and detected the crashes must notify the others.
+// crashed three targets elsewhere must have the record within the required bound, and so must an instance
+// that has just started. An instance that detected the crashes while it was partitioned must notify the others.
 func TestMissedRecordsAreRepaired(t *testing.T) {
 	for name, x := range map[string]struct{ partitioned int }{
 		"partitioned during the crashes": {partitioned: 5},
@@ -222,7 +223,7 @@
 }
 
 // Guards against a lost notification that a call was served: a quarantined call is served by an instance
-// that was partitioned and had no record of it. All instances clear it when they reach that one again.
+// that was partitioned and had no record of it. All instances clear the call when they reach that instance again.
 func TestClearedCallReachesAll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/replicator/store.go
+++ b/internal/replicator/store.go
@@ -29,9 +29,9 @@
 const (
 	// storeTimeout bounds a request to the store; a read may take longer while its answer arrives.
 	storeTimeout = time.Second
-	// storeRetryDelay is the pause after a failed request. A reader waits once more as long for each live
-	// instance with a lower ID, up to maxRank of them: one instance reads and notifies the others, so that
-	// not all of them send requests to a store that is unavailable.
+	// storeRetryDelay is the pause after a failed request. A reader waits one storeRetryDelay longer for
+	// each live instance with a lower ID, for at most maxRank of these: one instance reads and notifies the
+	// others, so that not all of them send requests to a store that is unavailable.
 	storeRetryDelay = time.Second
 	maxRank         = 10
 )
@@ -41,8 +41,8 @@
 
 // restore reads the stored records, until it succeeds or another instance that has them has answered.
 //
-// It begins immediately, as the reading of the catalog and of the target list does. When it began a second
-// after the start of four instances, a call that crashes targets had crashed four by then.
+// It begins immediately, like the reading of the catalog and of the target list. When it began only a second
+// after four instances had started, a call that crashes targets had crashed four targets by then.
 func (r *Replicator) restore(c context.Context) {
 	for tries := 1; c.Err() == nil && !r.isSynced(); tries++ {
 		l, err := r.readNewest(c)
@@ -52,7 +52,7 @@
 			// After success at the first attempt the records are not broadcast: the other instances read
 			// them as well.
 			if tries > 1 {
-				r.broadcaster.All(c, kinds, m)
+				r.broadcaster.All(c, broadcastKinds, m)
 			}
 
 			return
@@ -93,7 +93,7 @@
 }
 
 // load merges the stored records and schedules the deletion of those that are older than the retention. It
-// returns what the other instances should merge, also when there are no records.
+// returns the message for the other instances, which is not nil even if there are no records.
 func (r *Replicator) load(l []watcher.Record) *wire.Suspects {
 	n := time.Now()
 	m := &wire.Suspects{Synced: true}
@@ -138,7 +138,7 @@
 		return s, errors.Wrapf(errRecord, "it belongs to the call %v", digester.Digest(s.Call))
 	}
 
-	d := age(now, time.UnixMilli(h.WrittenMs))
+	d := ageMs(now, time.UnixMilli(h.WrittenMs))
 	s.LastSeenMs += d
 
 	for i := range s.Crashes {
@@ -162,8 +162,8 @@
 	}
 }
 
-// save writes scheduled records until the context ends. Failed writes are repeated.
-func (r *Replicator) save(c context.Context) {
+// saveLoop writes scheduled records until the context ends. Failed writes are repeated.
+func (r *Replicator) saveLoop(c context.Context) {
 	for {
 		select {
 		case <-r.saveWake:
--- a/internal/replicator/store_test.go
+++ b/internal/replicator/store_test.go
@@ -103,8 +103,8 @@
 	})
 }
 
-// Guards against the loss of quarantine records with all instances. All instances lose power after a call
-// has crashed three targets, and restart. The call keeps arriving, at several of them at once. Without
+// Guards against losing the quarantine records when all instances fail at once. All instances lose power after
+// a call has crashed three targets, and restart. The call keeps arriving, at several of them at once. Without
 // stored records it would crash three more targets, and at least one with each repeat.
 func TestRecordsSurviveRestartOfAllInstances(t *testing.T) {
 	for name, unavailable := range map[string]bool{"store available": false, "store unavailable during crashes and start": true} {
--- a/internal/replicator/trial.go
+++ b/internal/replicator/trial.go
@@ -23,9 +23,8 @@
 	homeTimeout = 30 * time.Millisecond
 	// trialPollInterval is the interval between two requests while another trial of the call is running.
 	trialPollInterval = 50 * time.Millisecond
-	// maxTrialWait is the longest time that a suspected call waits for another trial of it, and
-	// trialWaitDivisor the divisor of the remaining time until its deadline that bounds the wait as well. A
-	// call that crashes targets does so within a few hundred milliseconds.
+	// A suspected call waits for another trial of it at most maxTrialWait, and at most 1/trialWaitDivisor of
+	// the time left until its deadline. A call that crashes targets does so within a few hundred milliseconds.
 	maxTrialWait     = time.Second
 	trialWaitDivisor = 3
 )
@@ -44,7 +43,7 @@
 
 		h := r.home(d)
 		if (v.Status == quarantiner.Suspected || v.TrialDue) && r.requestTrial(c, h, d, v) {
-			return v, true, func() { r.finishTrial(h, d) }
+			return v, true, func() { r.reportTrialEnd(h, d) }
 		}
 
 		if v.Status == quarantiner.Quarantined || c.Err() != nil || time.Now().Add(trialPollInterval).After(until) {
@@ -70,7 +69,7 @@
 	return o
 }
 
-// requestTrial requests from the home of a call that it may be sent, and reports whether it may.
+// requestTrial requests a trial of a call from the call's home, and returns whether the call may be sent.
 func (r *Replicator) requestTrial(c context.Context, h gossiper.Member, d digester.Digest, v quarantiner.Verdict) bool {
 	if h.ID == r.members.Self().ID {
 		return r.grantTrial(d)
@@ -92,8 +91,8 @@
 	return p.Granted
 }
 
-// recordOf returns the record of a call. It is part of requests, so that a home does not grant the next
-// trial before it knows that the last one crashed a target.
+// recordOf returns the record of a call. It is sent with each message to the call's home, so that the home
+// knows if the last trial crashed a target before it grants the next one.
 func (r *Replicator) recordOf(d digester.Digest) wire.Suspects {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -101,10 +100,10 @@
 	return *encode(time.Now(), r.quarantiner.RecordsOf([]digester.Digest{d}))
 }
 
-// finishTrial notifies the home of a call that a trial is over.
-func (r *Replicator) finishTrial(h gossiper.Member, d digester.Digest) {
+// reportTrialEnd notifies the home of a call that a trial is over.
+func (r *Replicator) reportTrialEnd(h gossiper.Member, d digester.Digest) {
 	if h.ID == r.members.Self().ID {
-		r.endTrial(d)
+		r.endTrialHere(d)
 
 		return
 	}
@@ -117,6 +116,7 @@
 	}
 }
 
+// grantTrial decides on a request for a trial of a call whose home is this instance.
 func (r *Replicator) grantTrial(d digester.Digest) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -126,7 +126,8 @@
 	return r.trials.Begin(n, r.quarantiner.Check(n, d), d)
 }
 
-func (r *Replicator) endTrial(d digester.Digest) {
+// endTrialHere ends a trial of a call whose home is this instance.
+func (r *Replicator) endTrialHere(d digester.Digest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 
@@ -144,7 +145,7 @@
 	r.merge(&q.Known)
 
 	if q.Finished {
-		r.endTrial(d)
+		r.endTrialHere(d)
 
 		return nil, nil //nolint:nilnil // Without reply.
 	}
--- a/internal/replicator/trial_test.go
+++ b/internal/replicator/trial_test.go
@@ -15,7 +15,7 @@
 // timeout is how long the callers of these tests wait for an answer.
 const timeout = 3 * time.Second
 
-// Guards against as many crashes as instances: a call has crashed one target and arrives at all instances
+// Guards against one crash for each instance: a call has crashed one target and arrives at all instances
 // at once; each transmission crashes another target after 100 ms. Trials run one at a time, and stop after
 // the third crash.
 func TestTrialsOfSuspectedCallRunOneAtATime(t *testing.T) {
--- a/internal/requester/report.go
+++ b/internal/requester/report.go
@@ -37,13 +37,15 @@
 		return
 	}
 
-	// The next list of grants corrects a lost release.
+	// If this message is lost, the home releases the slot when it receives the next list of grants,
+	// which does not contain this one.
 	r.send(h, wire.KindRelease, &w)
 }
 
-// Report forwards what a target reported at the start of its answer to the home, if the
-// home requested a load report or the target's state is due. It must be called before the
-// answer is complete: a target that is shutting down would get new calls until then.
+// Report forwards to the home the load and state that a target reported at the start of its
+// answer, if the home requested a load report or a report of the target's state is due. It
+// must be called before the answer is complete, since a target that is shutting down gets new
+// calls until the home knows that.
 func (r *Requester) Report(p Reservation, requests int, s tracker.State) {
 	n := r.stateDue(p.Target, s)
 	if !p.reportDue && !n {
@@ -106,9 +108,9 @@
 	r.members.Suspect(h.ID)
 }
 
-// stateDue reports whether a target's state must be reported to its home, and records that
-// it is: if it has changed, and otherwise each syncInterval in case the home is new. A
-// state without an incarnation is never reported.
+// stateDue returns whether a target's state must be reported to the home now, and if so, records
+// the state as reported. A changed state is due at once, and an unchanged state every
+// syncInterval, in case the home has changed. A state without an incarnation is never due.
 func (r *Requester) stateDue(target uint32, s tracker.State) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/requester/requester.go
+++ b/internal/requester/requester.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	// syncInterval is the time between two lists of all grants sent to their homes, and
-	// between two reports of an unchanged target.
+	// syncInterval is the interval at which each home is sent the list of this router's grants, and
+	// the interval between two reports of a target whose state is unchanged.
 	syncInterval = 5 * time.Second
 	sendTimeout  = time.Second
 )
@@ -68,8 +68,8 @@
 	reported map[uint32]stateReport
 }
 
-// cell contains this router's grants in one cell and the ID of the home that knows them.
-// The home is zero before the first request.
+// cell contains this router's grants in one cell, and the ID of the home that granted them or
+// received a list of them. The home is zero before the first request.
 type cell struct {
 	cell   *matcher.Cell
 	home   uint64
--- a/internal/requester/requester_test.go
+++ b/internal/requester/requester_test.go
@@ -26,23 +26,23 @@
 // network is a fake of the other routers and of this router's supervisor. Each grants a
 // slot at target 7 and records the messages that it receives.
 type network struct {
-	home     uint64
-	down     map[uint64]bool
-	syncs    map[uint64][]wire.Sync
-	asks     map[uint64]int
-	released map[uint64][]wire.Release
-	// reports are those that each home received, and reportDue makes homes request one.
+	home      uint64
+	suspected map[uint64]bool
+	syncs     map[uint64][]wire.Sync
+	requests  map[uint64]int
+	released  map[uint64][]wire.Release
+	// reports holds the reports that each home received. If reportDue is set, homes request a report.
 	reports   map[uint64][]wire.Report
 	reportDue bool
-	// err is the error of messages to other routers, and stalled reports a stall of this process.
+	// err is the error of messages to other routers. If stalled is set, this process counts as stalled.
 	err     error
 	stalled bool
 }
 
 func newNetwork() *network {
 	return &network{
-		home: 2, down: make(map[uint64]bool), syncs: make(map[uint64][]wire.Sync),
-		asks: make(map[uint64]int), released: make(map[uint64][]wire.Release), reports: make(map[uint64][]wire.Report),
+		home: 2, suspected: make(map[uint64]bool), syncs: make(map[uint64][]wire.Sync),
+		requests: make(map[uint64]int), released: make(map[uint64][]wire.Release), reports: make(map[uint64][]wire.Report),
 	}
 }
 
@@ -52,7 +52,7 @@
 
 func (n *network) Home(uint64, []string) (gossiper.Member, bool) {
 	h := n.home
-	for n.down[h] {
+	for n.suspected[h] {
 		h++
 	}
 
@@ -60,12 +60,12 @@
 }
 
 func (*network) Self() gossiper.Member  { return gossiper.Member{ID: self} }
-func (n *network) Suspect(id uint64)    { n.down[id] = true }
+func (n *network) Suspect(id uint64)    { n.suspected[id] = true }
 func id(a netip.AddrPort) uint64        { return uint64(a.Addr().As4()[3]) }
 func (n *network) fails(id uint64) bool { return id > 100 }
 
 func (n *network) Call(_ context.Context, a netip.AddrPort, _ wire.Kind, _ msgp.Marshaler, r msgp.Unmarshaler) error {
-	n.asks[id(a)]++
+	n.requests[id(a)]++
 
 	if n.err != nil {
 		return n.err
@@ -105,7 +105,7 @@
 }
 
 func (n *network) Reserve(time.Time, uint64, wire.SlotRequest) (wire.SlotReply, error) {
-	n.asks[self]++
+	n.requests[self]++
 
 	return wire.SlotReply{Target: 7}, nil
 }
@@ -181,7 +181,7 @@
 			n.home = tc.home
 
 			for _, d := range tc.down {
-				n.down[d] = true
+				n.suspected[d] = true
 			}
 
 			p, err := newRequester(n).Reserve(t.Context(), request())
@@ -189,7 +189,7 @@
 			i.Equal(p.Target, uint32(7))
 
 			if tc.answer != 0 {
-				i.Equal(n.asks[tc.answer], 1)
+				i.Equal(n.requests[tc.answer], 1)
 			}
 		})
 	}
@@ -222,13 +222,13 @@
 
 			n.err, n.stalled = tc.err, tc.stalled
 			a.Release(p, granter.Outcome{OK: true})
-			i.Equal(n.down[2], tc.suspected)
+			i.Equal(n.suspected[2], tc.suspected)
 
-			n.down = make(map[uint64]bool)
+			n.suspected = make(map[uint64]bool)
 			p, err = a.Reserve(t.Context(), request())
 			i.NoErr(err)
 			i.Equal(p.Target, uint32(7)) // Decided locally.
-			i.Equal(n.down[2], tc.suspected)
+			i.Equal(n.suspected[2], tc.suspected)
 		})
 	}
 }
--- a/internal/requester/reserve.go
+++ b/internal/requester/reserve.go
@@ -53,10 +53,10 @@
 	reportDue bool
 }
 
-// Reserve reserves a slot in a cell at the cell's home (home node: the one router that reserves
-// slots there). If the home can't be reached, it tries the next one, and finally decides
-// locally by this router's own knowledge: its own calls and the targets' load reports. It
-// fails with ErrNoSlot.
+// Reserve requests a slot in a cell from the cell's home (home node: the one router that grants
+// slots there). If the home can't be reached, Reserve tries the next home. If that fails too, it
+// decides locally, by the calls and the load reports that this router knows. It fails with
+// ErrNoSlot.
 func (r *Requester) Reserve(c context.Context, q Request) (Reservation, error) {
 	w := r.newRequest(q)
 	defer r.finishRequest(w.Seq)
@@ -80,9 +80,9 @@
 			return Reservation{}, errors.Mark(c.Err(), ErrNoSlot)
 		}
 
-		// A home that refuses does not know the cell or the rule, because its
-		// configuration is of another revision. It is healthy and must not be suspected,
-		// since it is the home of other cells.
+		// A home refuses if it does not know the cell or the rule, because its configuration is
+		// of another revision. Such a home is healthy, and must not be suspected: it may be the
+		// home of other cells.
 		if errors.Is(err, messenger.ErrRefused) {
 			break
 		}
@@ -109,7 +109,8 @@
 	return r.record(q, w, v), nil
 }
 
-// newRequest assigns the next sequence number to a request, which is pending until finishRequest.
+// newRequest returns the message for a request, with the next sequence number. The request is pending
+// until finishRequest is called.
 func (r *Requester) newRequest(q Request) wire.SlotRequest {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/requester/sync.go
+++ b/internal/requester/sync.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// setHome records the home of a cell. If it has changed, it sends this router's grants to
-// the new home, which would otherwise consider the targets idle and overload them.
+// setHome records the home of a cell. If the home has changed, setHome sends it this router's
+// grants; without them the new home would consider the targets idle and overload them.
 func (r *Requester) setHome(c context.Context, x *matcher.Cell, h gossiper.Member) {
 	r.mu.Lock()
 	e := r.entry(x)
--- a/internal/router/backoff_test.go
+++ b/internal/router/backoff_test.go
@@ -14,7 +14,7 @@
 )
 
 // addBackoffServices adds services that refuse each call and request a backoff in seconds. It
-// returns the counter of calls to them.
+// returns a counter of the calls that they receive.
 func (f *fleet) addBackoffServices(n int, backoff string) *atomic.Int64 {
 	var calls atomic.Int64
 
@@ -36,7 +36,7 @@
 
 // Guards against calls from any router to targets during the backoff that they requested, and
 // against a Retry-After for callers that is shorter than the backoff.
-func TestTargetsThatAskForRest(t *testing.T) {
+func TestRequestedBackoffIsRespected(t *testing.T) {
 	for name, others := range map[string]int{"some": 2, "all": 0} {
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
@@ -56,7 +56,7 @@
 
 			waiter.Until(t, "the first backoff", func() bool { call(); return calls.Load() > 0 })
 
-			// The router notifies the home of the cell of the backoff by a message.
+			// The router sends the home of the cell a message about the backoff.
 			time.Sleep(50 * time.Millisecond)
 
 			for range 30 {
--- a/internal/router/components.go
+++ b/internal/router/components.go
@@ -23,8 +23,8 @@
 	"github.com/auburntray/auburntray/internal/tracer"
 )
 
-// checkpointKey is the key whose home, the one router responsible for it, writes the
-// checkpoints of the configuration log.
+// checkpointKey is the key that determines which router writes the checkpoints of the
+// configuration log: the home of the key (home node: the one router responsible for it).
 const checkpointKey = "checkpoint"
 
 // onStop registers the clean-up function of a component to run when the application stops.
@@ -103,9 +103,9 @@
 	return g
 }
 
-// membershipSettleTime is the time after its start within which a router learns of the
-// other routers. Before that, each of several routers that start together would consider
-// itself responsible for every key.
+// membershipSettleTime is how long after its start a router knows the other routers. Before
+// that, each of several routers that start together would consider itself the home of every
+// key.
 const membershipSettleTime = 10 * time.Second
 
 // isKeyHome reports whether this router is the home of a key among all routers. It is false
--- a/internal/router/network_test.go
+++ b/internal/router/network_test.go
@@ -60,8 +60,8 @@
 
 // blocked reports whether an address is on the other side of the partition. It uses the
 // current data centre of the address, not the one at the time of the dial: on a busy machine
-// a router is dialled before its data centre is set. Such a connection would outlast the
-// partition, and both sides would continue to share one home.
+// a router is dialled before its data centre is set. Such a connection would stay
+// open during the partition, and both sides would continue to share one home.
 func (n *network) blocked(from string, a netip.AddrPort) bool {
 	to, ok := n.centres[a]
 
@@ -97,10 +97,10 @@
 	return x, err
 }
 
-// Guards against connections that outlast a partition because the data centre of the dialled
-// router was set only after the dial. Otherwise both sides would share one home, which would
-// mark targets that the other side cannot reach as unhealthy.
-func TestCutClosesConnectionsAcrossIt(t *testing.T) {
+// Guards against connections that stay open across a partition because the data centre of the
+// dialled router was set only after the dial. Both sides would then share one home, which would
+// mark targets that only one side can reach as unhealthy for both.
+func TestPartitionClosesConnectionsAcrossIt(t *testing.T) {
 	for name, tc := range map[string]struct {
 		from, to string
 		// late means that the data centre is set after the dial.
--- a/internal/router/notifier.go
+++ b/internal/router/notifier.go
@@ -15,16 +15,16 @@
 	"github.com/auburntray/auburntray/internal/wire"
 )
 
-// notifier sends messages about cells of this router to the homes of cells, that is, to the
-// routers responsible for them. It is safe for concurrent use.
+// notifier sends the loads and placements of cells to the homes of cells. The home (home node) of a
+// cell is the one router responsible for it. It is safe for concurrent use.
 type notifier struct {
 	messenger  *messenger.Messenger
 	joiner     func() *joiner.Joiner
 	supervisor func() *supervisor.Supervisor
 }
 
-// ReportCellLoad sends a cell's load to the home of another cell of its pool in the background. Lost
-// messages are not repeated, as the next load replaces them.
+// ReportCellLoad sends a cell's load to the home of another cell of the same pool in the background. Lost
+// messages are not sent again, since the next report replaces them.
 func (n notifier) ReportCellLoad(to *matcher.Cell, w wire.CellLoad) {
 	h, ok := n.joiner().Home(uint64(to.ID), to.DataCentres)
 	if !ok {
--- a/internal/router/quarantine_test.go
+++ b/internal/router/quarantine_test.go
@@ -48,7 +48,7 @@
 // target that runs it, alternating between the routers. The routers must share the crashes,
 // so that the call is quarantined at all routers after the third crash and other calls are
 // served.
-func TestCallThatEndsTargetsIsHeldBackEverywhere(t *testing.T) {
+func TestCrashingCallIsQuarantinedByAllRouters(t *testing.T) {
 	i := is.New(t)
 	f := newFleet(t, 0, 0)
 	crashes := f.addCrashingServices(8)
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -89,8 +89,8 @@
 	)
 }
 
-// discardLogger discards the events of the fx container, whose failures are returned as
-// errors.
+// discardLogger discards the events of the fx container. Failures of the container are also
+// returned as errors.
 type discardLogger struct{}
 
 // LogEvent implements fxevent.Logger.
@@ -166,9 +166,9 @@
 	p.Supervisor.Update(f)
 }
 
-// newReplicator returns the component that shares quarantined calls between the routers. They
-// are not stored, so after a restart of all routers a quarantined call crashes three more
-// targets before it is quarantined again.
+// newReplicator returns the component that shares the records of quarantined calls between the
+// routers. The records are not stored, so after a restart of all routers a quarantined call
+// crashes three more targets before it is quarantined again.
 func newReplicator(m *messenger.Messenger, j *joiner.Joiner) *replicator.Replicator {
 	return replicator.New(m, j, nil, quarantiner.DefaultSettings())
 }
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -31,8 +31,8 @@
 // connections in the middle of answers while 45 callers stream concurrently through three
 // routers.
 //
-// All calls are of one customer, whose share is 0.85 of the slots. That is 54 slots of four
-// engines, so that none of the 45 calls is refused, however long the others run.
+// All calls are of one customer, which may use 0.85 of the slots. With four engines these are 54
+// slots, so none of the 45 calls is refused, however long the others run.
 func TestEveryCallerGetsItsOwnWholeAnswer(t *testing.T) {
 	i := is.New(t)
 	f := newFleet(t, 4, 0)
@@ -90,7 +90,7 @@
 
 // A router is stopped while it streams an answer. The answer must be completed, and calls that
 // arrive after the drain notice are refused as not run.
-func TestAPlannedStopCutsNothing(t *testing.T) {
+func TestPlannedStopInterruptsNothing(t *testing.T) {
 	i := is.New(t)
 	f := newFleet(t, 2, 0)
 	a, b := f.add("dc-1"), f.add("dc-1")
@@ -121,7 +121,7 @@
 
 // Guards against the loss of placements when a home is stopped as planned. It hands them over
 // to the next home, so that chats return to the engines with their prompt caches.
-func TestAStoppedHomeHandsItsPlacesOver(t *testing.T) {
+func TestStoppedHomeHandsOverItsPlacements(t *testing.T) {
 	i := is.New(t)
 	f := newFleet(t, 4, 0)
 	a, b := f.add("dc-1"), f.add("dc-1")
@@ -382,7 +382,7 @@
 }
 
 // Guards against calls that occupy a slot after their caller has disconnected.
-func TestACallerThatHangsUpFreesItsSlot(t *testing.T) {
+func TestDisconnectedCallerFreesItsSlot(t *testing.T) {
 	f := newFleet(t, 1, 0)
 	n := f.add("dc-1")
 	c, hangUp := context.WithCancel(t.Context())
@@ -444,7 +444,7 @@
 func chatCell() uint32 { return hasher.Name("chats/r/0") }
 
 // Guards against lost calls when the home of a cell disappears, as when its host crashes. The
-// other routers notice by a failed request and continue with the next home.
+// other routers detect this by a failed request and send their requests to the next home.
 func TestALostHomeLosesNoCall(t *testing.T) {
 	i := is.New(t)
 	f := newFleet(t, 3, 0)
--- a/internal/router/run.go
+++ b/internal/router/run.go
@@ -32,7 +32,7 @@
 
 // registerHandlers registers the components' handlers for messages from peers.
 func (r *Router) registerHandlers(g *registrar.Registrar) {
-	r.messenger.Handle(wire.KindGossip, r.joiner.Gossip)
+	r.messenger.Handle(wire.KindGossip, r.joiner.HandleGossip)
 	r.messenger.Handle(wire.KindState, r.follower.AnswerState)
 	r.supervisor.Register(r.messenger)
 	r.replicator.Register(r.messenger)
@@ -89,9 +89,9 @@
 	t := time.NewTicker(drainPollInterval)
 	defer t.Stop()
 
-	// Peers are notified that this router is no longer a home. It continues to answer
-	// their requests until they have applied that. The next homes receive the
-	// placements now and, after the drain, those added since.
+	// Peers are notified that this router is no longer a home. Until they have applied the
+	// notification, it continues to answer their requests. The next homes receive the
+	// placements now and, after the drain, the placements added since.
 	r.joiner.Leave(c)
 	r.handOver(c)
 
@@ -181,8 +181,8 @@
 	return r.home(x) == r.joiner.Self().ID
 }
 
-// handOver sends the placements of each cell to its next home. Otherwise the chats of the
-// cell would lose their prompt caches at every planned stop.
+// handOver sends the placements of each cell to the cell's next home. Without this, the chats of
+// the cell would lose their prompt caches at every planned stop.
 func (r *Router) handOver(c context.Context) {
 	n := 0
 
--- a/internal/selector/cold_replay_test.go
+++ b/internal/selector/cold_replay_test.go
@@ -194,7 +194,7 @@
 	s.ConfigureThrottling(throttler.Settings{Coverage: 1}, func() throttler.Fleet { return throttler.Fleet{} })
 
 	for id, cold := range map[string]time.Duration{"warm": 0, "cold": time.Minute} {
-		d.Set(discoverer.Target{ID: id, Group: group, DataCentre: "a", Slots: 8, Cold: cold}.WithReadTime(now, nil))
+		d.Set(discoverer.Target{ID: id, Group: group, DataCentre: "a", Slots: 8, ColdTime: cold}.WithReadTime(now, nil))
 	}
 
 	r := d.Registry()
--- a/internal/selector/evacuation_replay_test.go
+++ b/internal/selector/evacuation_replay_test.go
@@ -27,7 +27,7 @@
 	for k := range engines {
 		t := discoverer.Target{ID: fmt.Sprintf("t%d", k), Group: group, DataCentre: fmt.Sprintf("dc%d", k/15), Slots: 32}
 		if k%every == 0 {
-			t.Cold = cold
+			t.ColdTime = cold
 		}
 
 		d.Set(t.WithReadTime(now, nil))
@@ -69,7 +69,7 @@
 		now := start.Add(time.Duration(k) * time.Second / (usualRate * 2))
 		evacuated := k >= 3*usualRate*2
 
-		if evacuated && len(r.Closed) == 0 {
+		if evacuated && len(r.Evacuated) == 0 {
 			r = r.WithEvacuated(func(centre string) bool { return centre == "dc1" }, nil)
 			s.ApplyRegistry(now, r)
 		}
--- a/internal/selector/selector.go
+++ b/internal/selector/selector.go
@@ -200,7 +200,7 @@
 	}
 
 	h := s.placements.holders(now, q.Prefixes[0].Key)
-	bound := s.settings.bound(l, s.candidates(now, r, r.Closed[group], &Query{}))
+	bound := s.settings.bound(l, s.candidates(now, r, r.Evacuated[group], &Query{}))
 	x := pickForPrompt(u, bound, h, q)
 	n := x.target.Key()
 	s.recordSent(now, x)
--- a/internal/supervisor/home.go
+++ b/internal/supervisor/cell_state.go
@@ -11,28 +11,28 @@
 	"github.com/auburntray/auburntray/internal/parser"
 )
 
-// home is the state of one cell at its home. Each cell has its own lock, so requests for different
+// cellState is the state of one cell at its home. Each cell has its own lock, so requests for different
 // cells don't wait for each other.
-type home struct {
+type cellState struct {
 	mu       sync.Mutex
 	granter  *granter.Granter
 	lastUsed time.Time
-	// holder is the router that has the placements of this cell already: the home that they were
-	// handed over to or that replicated them to this router. Zero means none. nextPosition is the
-	// position of the scan while they are handed over to a new home.
-	holder       uint64
+	// holder is the router known to have this cell's placements, either because they were handed over
+	// to it or because it sent them to this router. Zero means none.
+	holder uint64
+	// nextPosition is where the scan of the placements continues during a handover.
 	nextPosition int
 }
 
-// Update applies a new configuration to all cells, and drops those that are not in it.
+// Update applies a new configuration to all cells, and drops the cells that are not in it.
 func (s *Supervisor) Update(f *follower.Config) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	for id, h := range s.homes {
+	for id, h := range s.cells {
 		x := f.Matcher.Cell(id)
 		if x == nil {
-			delete(s.homes, id)
+			delete(s.cells, id)
 
 			continue
 		}
@@ -43,9 +43,9 @@
 	}
 }
 
-// update applies a configuration to one cell. It also applies the states from the platform's
-// registry, which may have changed while a target was not in the cell. The caller holds both locks.
-func (s *Supervisor) update(h *home, f *follower.Config, x *matcher.Cell) {
+// update applies a configuration to one cell. It also applies the target states from the platform's
+// registry: the state of a target may have changed while the target was not in the cell. The caller holds both locks.
+func (s *Supervisor) update(h *cellState, f *follower.Config, x *matcher.Cell) {
 	h.granter.Update(targets(x), limits(f.Matcher))
 
 	for _, t := range x.Targets {
@@ -53,12 +53,12 @@
 	}
 }
 
-func (s *Supervisor) snapshot() map[uint32]*home {
+func (s *Supervisor) snapshot() map[uint32]*cellState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	o := make(map[uint32]*home, len(s.homes))
-	for id, h := range s.homes {
+	o := make(map[uint32]*cellState, len(s.cells))
+	for id, h := range s.cells {
 		o[id] = h
 	}
 
@@ -66,9 +66,9 @@
 }
 
 // withCell calls f with a cell under its lock. Messages for a cell that is not in the configuration in
-// force are dropped, since their sender uses another revision.
-func (s *Supervisor) withCell(now time.Time, cell uint32, f func(h *home)) {
-	h, err := s.home(now, s.force(), cell)
+// force are dropped, since their sender uses another revision of the configuration.
+func (s *Supervisor) withCell(now time.Time, cell uint32, f func(h *cellState)) {
+	h, err := s.cellState(now, s.config(), cell)
 	if err != nil {
 		return
 	}
@@ -79,12 +79,12 @@
 	f(h)
 }
 
-// home returns the state of a cell, which it creates on first use. It fails with ErrUnknownCell.
-func (s *Supervisor) home(now time.Time, f *follower.Config, cell uint32) (*home, error) {
+// cellState returns the state of a cell. It creates the state on first use. It fails with ErrUnknownCell.
+func (s *Supervisor) cellState(now time.Time, f *follower.Config, cell uint32) (*cellState, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	if h, ok := s.homes[cell]; ok {
+	if h, ok := s.cells[cell]; ok {
 		return h, nil
 	}
 
@@ -94,9 +94,9 @@
 	}
 
 	r := rand.New(rand.NewPCG(rand.Uint64(), uint64(cell))) //nolint:gosec // Jitter.
-	h := &home{granter: granter.New(s.settings, r), lastUsed: now}
+	h := &cellState{granter: granter.New(s.settings, r), lastUsed: now}
 	s.update(h, f, x)
-	s.homes[cell] = h
+	s.cells[cell] = h
 
 	return h, nil
 }
--- a/internal/supervisor/handlers.go
+++ b/internal/supervisor/handlers.go
@@ -11,13 +11,13 @@
 	"github.com/auburntray/auburntray/internal/wire"
 )
 
-// registry registers handlers of messages.
-type registry interface {
+// handlerRegistry registers handlers of messages.
+type handlerRegistry interface {
 	Handle(k wire.Kind, h messenger.Handler)
 }
 
 // Register registers the handlers for messages of other routers.
-func (s *Supervisor) Register(r registry) {
+func (s *Supervisor) Register(r handlerRegistry) {
 	r.Handle(wire.KindSlotRequest, s.handleReserve)
 	r.Handle(wire.KindRelease, oneWay(func(from uint64, w *wire.Release) { s.Release(time.Now(), from, *w) }))
 	r.Handle(wire.KindReport, oneWay(func(_ uint64, w *wire.Report) { s.Report(time.Now(), *w) }))
--- a/internal/supervisor/notifier.go
+++ b/internal/supervisor/notifier.go
@@ -8,7 +8,8 @@
 	"github.com/auburntray/auburntray/internal/wire"
 )
 
-// unitsPerRequest is the number of units per request in load reports.
+// unitsPerRequest is the number by which one request is represented in load reports, so that integers
+// can express fractions of requests.
 const unitsPerRequest = 1000
 
 // Bounds of the placements that a home sends to other routers in each sweep.
@@ -17,8 +18,9 @@
 	// that are replicated to the cell's next home.
 	maxNewPlacements      = 128
 	maxRepeatedPlacements = 16
-	// maxHandedPlacements bounds the placements that a former home hands over. Cells of current sizes
-	// are handed over within seconds, and cells of the design size without a burst.
+	// maxHandedPlacements bounds the placements that a former home hands over. A cell of a size in use
+	// today is handed over within seconds. A cell of the largest size that the system is designed
+	// for takes more sweeps, so that its placements are not sent in one burst.
 	maxHandedPlacements = 2048
 )
 
@@ -28,13 +30,15 @@
 	ReportCellLoad(to *matcher.Cell, w wire.CellLoad)
 	// HandOver sends placements of a cell to its home.
 	HandOver(cell *matcher.Cell, w wire.HandOver)
-	// Replicate sends placements of a cell to the router that becomes its home if this one fails.
+	// Replicate sends placements of a cell to the router that becomes the cell's home if this router
+	// fails.
 	Replicate(cell *matcher.Cell, w wire.HandOver)
 }
 
-// replicate sends the cell's new placements to its next home. Without this, a home that is killed
-// would cost its chats their prompt caches where callers return no token.
-func (s *Supervisor) replicate(x *matcher.Cell, h *home) {
+// replicate sends the cell's new placements to the router that becomes its home if this one fails.
+// Without this, chats would lose their prompt caches when this router is killed, unless their callers
+// return a placement token.
+func (s *Supervisor) replicate(x *matcher.Cell, h *cellState) {
 	h.mu.Lock()
 	l := h.granter.ChangedPlacements(maxNewPlacements, maxRepeatedPlacements)
 	h.mu.Unlock()
@@ -45,7 +49,7 @@
 }
 
 // markOwned records that this router is the cell's home.
-func (h *home) markOwned() {
+func (h *cellState) markOwned() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 
@@ -54,13 +58,13 @@
 }
 
 // handOver sends the placements of a cell to the router that has become its home, a part per sweep.
-// A router that joins becomes the home of some cells of live routers; without the handover, each
-// start of a router would cost the chats of these cells their prompt caches. The next home of a
-// cell also hands over the placements that were replicated to it, if the cell's home failed and a
-// new process became the home instead.
+// When a router joins, it becomes the home of some cells that had other homes; without the handover,
+// the chats of these cells would lose their prompt caches at each start of a router. A router also
+// hands over placements that were replicated to it, if the cell's home failed and another process
+// became the home.
 func (s *Supervisor) handOver(x *matcher.Cell, to uint64) {
 	s.mu.Lock()
-	h, ok := s.homes[x.ID]
+	h, ok := s.cells[x.ID]
 	s.mu.Unlock()
 
 	if !ok {
@@ -98,7 +102,7 @@
 }
 
 // reportLoad reports a cell's load to the homes of the pool's other cells.
-func (s *Supervisor) reportLoad(now time.Time, m *matcher.Matcher, x *matcher.Cell, h *home) {
+func (s *Supervisor) reportLoad(now time.Time, m *matcher.Matcher, x *matcher.Cell, h *cellState) {
 	l := m.Siblings(x)
 	if len(l) == 0 {
 		return
--- a/internal/supervisor/probe.go
+++ b/internal/supervisor/probe.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// probeAfter is the time without a report after which a target is probed. Answers carry the
-	// same report, so busy targets are not probed. A target's notification that it is leaving
-	// takes effect after at most this time, one sweep interval and one probe.
+	// probeAfter is the time without a report after which a target is probed. Answers contain the
+	// same report, so busy targets are not probed. That a target is leaving is known after at most
+	// this time, one sweep interval and one probe.
 	probeAfter   = time.Second
 	probeTimeout = 500 * time.Millisecond
 )
@@ -38,7 +38,7 @@
 }
 
 // probe probes the cell's targets without recent reports, each in the background.
-func (s *Supervisor) probe(c context.Context, now time.Time, m *matcher.Matcher, h *home) {
+func (s *Supervisor) probe(c context.Context, now time.Time, m *matcher.Matcher, h *cellState) {
 	h.mu.Lock()
 	l := h.granter.Unreported(now, now.Add(-probeAfter))
 	h.mu.Unlock()
@@ -50,7 +50,7 @@
 	}
 }
 
-func (s *Supervisor) probeOne(c context.Context, h *home, t *matcher.Target) {
+func (s *Supervisor) probeOne(c context.Context, h *cellState, t *matcher.Target) {
 	x, stop := context.WithTimeout(c, probeTimeout)
 	defer stop()
 
@@ -62,8 +62,8 @@
 	}
 
 	// A probe that timed out while this process was stalled is no evidence against the target,
-	// which may have answered. Three such stalls would exclude healthy targets, so the result is
-	// left to the next probe.
+	// which may have answered. Three such stalls would exclude healthy targets, so this
+	// probe is ignored; the next one decides.
 	if detector.TimedOut(err) && s.stallMonitor.Stalled(b) {
 		return
 	}
--- a/internal/supervisor/request.go
+++ b/internal/supervisor/request.go
@@ -12,11 +12,12 @@
 	"github.com/auburntray/auburntray/internal/wire"
 )
 
-// Reserve decides on the request of an entry router to reserve a slot. It fails with ErrUnknownCell.
+// Reserve decides on the request of an entry router, the one that received the call, to reserve a slot.
+// It fails with ErrUnknownCell.
 func (s *Supervisor) Reserve(now time.Time, entry uint64, w wire.SlotRequest) (wire.SlotReply, error) {
-	f := s.force()
+	f := s.config()
 
-	h, err := s.home(now, f, w.Cell)
+	h, err := s.cellState(now, f, w.Cell)
 	if err != nil {
 		return wire.SlotReply{}, err
 	}
@@ -51,7 +52,7 @@
 
 // Release releases the slot of a grant and records the outcome of the call.
 func (s *Supervisor) Release(now time.Time, entry uint64, w wire.Release) {
-	s.withCell(now, w.Cell, func(h *home) {
+	s.withCell(now, w.Cell, func(h *cellState) {
 		h.granter.Release(now, granter.ID{Entry: entry, Seq: w.Seq}, granter.Outcome{
 			OK: w.OK, NeverSent: w.NeverSent,
 		})
@@ -60,19 +61,19 @@
 
 // Report applies a target's load and state as reported by an entry router.
 func (s *Supervisor) Report(now time.Time, w wire.Report) {
-	s.withCell(now, w.Cell, func(h *home) {
+	s.withCell(now, w.Cell, func(h *cellState) {
 		h.granter.Report(now, w.Target, int(w.Requests), tracker.State{Incarnation: w.Incarnation, Leaving: w.Leaving})
 	})
 }
 
 // StartBackoff starts the backoff of a target that has requested one from an entry router.
 func (s *Supervisor) StartBackoff(now time.Time, w wire.Backoff) {
-	s.withCell(now, w.Cell, func(h *home) {
+	s.withCell(now, w.Cell, func(h *cellState) {
 		h.granter.StartBackoff(now, w.Target, time.Duration(w.DurationMs)*time.Millisecond)
 	})
 }
 
-// Sync reconciles the grants in a cell with an entry router's list of its own.
+// Sync reconciles the grants of an entry router in a cell with the list that this entry router sent.
 func (s *Supervisor) Sync(now time.Time, entry uint64, w wire.Sync) {
 	l := make([]granter.Grant, len(w.Grants))
 	for i, g := range w.Grants {
@@ -81,7 +82,7 @@
 		}
 	}
 
-	s.withCell(now, w.Cell, func(h *home) {
+	s.withCell(now, w.Cell, func(h *cellState) {
 		h.granter.Sync(now, entry, w.UpTo, l)
 	})
 }
@@ -91,14 +92,15 @@
 	s.Observe(hasher.Name(i.Name), tracker.State{Incarnation: i.Incarnation, Leaving: i.Leaving || i.Gone})
 }
 
-// Observe applies a target's state from a source other than an answer to all cells.
+// Observe applies a target's state to all cells. The state is from a source other than an answer of
+// the target.
 func (s *Supervisor) Observe(target uint32, x tracker.State) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
 	s.states.Observe(target, x)
 
-	for _, h := range s.homes {
+	for _, h := range s.cells {
 		h.mu.Lock()
 		h.granter.Report(time.Now(), target, -1, x)
 		h.mu.Unlock()
@@ -107,15 +109,15 @@
 
 // ReportCell applies the load report of another cell of the pool.
 func (s *Supervisor) ReportCell(now time.Time, w wire.CellLoad) {
-	s.withCell(now, w.To, func(h *home) {
+	s.withCell(now, w.To, func(h *cellState) {
 		h.granter.ReportCell(now, w.From, float64(w.MilliRequests)/unitsPerRequest, float64(w.Weight))
 	})
 }
 
-// HandOver records placements of a cell that its former home hands over, or that its home
-// replicates for the case that it fails.
+// HandOver records placements of a cell. They are sent by the cell's former home when it hands them
+// over, or by its present home, so that this router has them if the home fails.
 func (s *Supervisor) HandOver(now time.Time, from uint64, w wire.HandOver) {
-	s.withCell(now, w.Cell, func(h *home) {
+	s.withCell(now, w.Cell, func(h *cellState) {
 		h.holder = from
 
 		for _, p := range w.Placements {
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -1,5 +1,5 @@
-// Package supervisor runs the Granters of the cells that this router is the home of, that is, the one
-// router responsible for reserving slots at a cell's targets (home node).
+// Package supervisor runs the Granters of the cells whose home is this router. The home (home node) of
+// a cell is the one router responsible for reserving slots at the cell's targets.
 package supervisor
 
 import (
@@ -29,34 +29,35 @@
 	ErrUnknownCell = errors.New("unknown cell or rule in the current configuration")
 )
 
-// Supervisor reserves slots for requests of other routers, and maintains one Granter per cell. It does not
-// check that this router is the cell's home: the requester considers it so, and a refusal would
-// leave the call without a slot while routers disagree on the membership. It is safe for concurrent
-// use.
+// Supervisor reserves slots for requests of other routers, and maintains one Granter per cell. It does
+// not check that this router is the cell's home. The router that sent the request considers it the
+// home, and a refusal would leave the call without a slot while routers disagree on which routers are
+// live. It is safe for concurrent use.
 type Supervisor struct {
 	settings     granter.Settings
 	self         uint64
-	force        func() *follower.Config
+	config       func() *follower.Config
 	prober       prober
 	notifier     notifier
 	stallMonitor stallMonitor
 
 	mu    sync.Mutex
-	homes map[uint32]*home
-	// states holds the target states from the platform's registry, for cells that this router
-	// becomes the home of later.
+	cells map[uint32]*cellState
+	// states holds the target states from the platform's registry. They are applied to a cell when
+	// this router becomes its home.
 	states *tracker.Tracker
 }
 
-// New returns a supervisor without cells. Self is the identifier of this router.
-func New(s granter.Settings, self uint64, force func() *follower.Config, p prober, t notifier, x stallMonitor) *Supervisor {
+// New returns a supervisor without cells. Self is the identifier of this router, and config returns the
+// configuration in force.
+func New(s granter.Settings, self uint64, config func() *follower.Config, p prober, t notifier, x stallMonitor) *Supervisor {
 	return &Supervisor{
-		settings: s, self: self, force: force, prober: p, notifier: t, stallMonitor: x, homes: make(map[uint32]*home), states: tracker.New(),
+		settings: s, self: self, config: config, prober: p, notifier: t, stallMonitor: x, cells: make(map[uint32]*cellState), states: tracker.New(),
 	}
 }
 
-// Run sweeps the cells periodically until the context ends. The function returns the identifier of
-// a cell's home.
+// Run sweeps the cells periodically until the context ends. The function home returns the identifier
+// of a cell's home.
 func (s *Supervisor) Run(c context.Context, home func(*matcher.Cell) uint64) {
 	t := time.NewTicker(sweepInterval)
 	defer t.Stop()
@@ -76,7 +77,7 @@
 // drops unused cells.
 func (s *Supervisor) sweep(c context.Context, home func(*matcher.Cell) uint64) {
 	n := time.Now()
-	f := s.force()
+	f := s.config()
 
 	for _, x := range f.Matcher.Cells() {
 		if y := home(x); y != s.self {
@@ -85,7 +86,7 @@
 			continue
 		}
 
-		if h, err := s.home(n, f, x.ID); err == nil {
+		if h, err := s.cellState(n, f, x.ID); err == nil {
 			h.markOwned()
 			s.probe(c, n, f.Matcher, h)
 			s.reportLoad(n, f.Matcher, x, h)
@@ -101,7 +102,7 @@
 
 		if x := f.Matcher.Cell(id); u && (x == nil || home(x) != s.self) {
 			s.mu.Lock()
-			delete(s.homes, id)
+			delete(s.cells, id)
 			s.mu.Unlock()
 		}
 	}
--- a/internal/supervisor/supervisor_test.go
+++ b/internal/supervisor/supervisor_test.go
@@ -101,8 +101,8 @@
 	return wire.SlotRequest{Seq: seq, Cell: f.Matcher.Cells()[0].ID, Rule: hasher.Name("r"), Chat: uint64(seq), Prompt: 100}
 }
 
-// allAssignedTo checks that all new chats are assigned to one target.
-func allAssignedTo(t *testing.T, k *supervisor.Supervisor, f *follower.Config, target string) {
+// checkAllAssignedTo checks that all new chats are assigned to one target.
+func checkAllAssignedTo(t *testing.T, k *supervisor.Supervisor, f *follower.Config, target string) {
 	t.Helper()
 
 	i := is.New(t)
@@ -246,7 +246,7 @@
 	k := newSupervisor(f, &peersAndTargets{})
 	k.ObserveInstance(recorder.Instance{Name: "e0", Incarnation: 3, Leaving: true})
 
-	allAssignedTo(t, k, f, "e1")
+	checkAllAssignedTo(t, k, f, "e1")
 }
 
 // Guards against new calls to a leaving target after operators drain it and undo the drain while
@@ -262,7 +262,7 @@
 	k.Update(configuration(2, "e0"))
 	k.Update(f)
 
-	allAssignedTo(t, k, f, "e1")
+	checkAllAssignedTo(t, k, f, "e1")
 }
 
 func TestUpdate(t *testing.T) {
@@ -274,7 +274,7 @@
 
 	k.Update(configuration(2, "e0"))
 
-	allAssignedTo(t, k, f, "e1")
+	checkAllAssignedTo(t, k, f, "e1")
 
 	_, err = k.Reserve(time.Now(), 1, wire.SlotRequest{Cell: 12345})
 	i.True(errors.Is(err, supervisor.ErrUnknownCell))
