--- a/internal/filterer/accept.go
+++ b/internal/filterer/accept.go
@@ -21,7 +21,7 @@
 // Name implements exchanger.Filter.
 func (Accept) Name() string { return "accept" }
 
-// Apply records the start time and reads the body. It fails with a Refusal if the
+// Apply records the start time of the call and reads the body. It fails with a Refusal if the
 // body is larger than MaxBody or cannot be read.
 func (a Accept) Apply(_ context.Context, x *exchanger.Exchange) error {
 	x.Start = time.Now()
--- a/internal/filterer/attempt.go
+++ b/internal/filterer/attempt.go
@@ -20,10 +20,10 @@
 // safe for concurrent use; create it with NewAttempt.
 type Attempt struct {
 	// Steps are the filters of each attempt, in order.
-	Steps   []exchanger.Filter
-	Slots   slots
-	Counter *counter.Counter
-	Isolate Isolate
+	Steps      []exchanger.Filter
+	Slots      slots
+	Counter    *counter.Counter
+	Quarantine RefuseQuarantined
 
 	mu sync.Mutex
 	// retrier is guarded by mu.
@@ -31,10 +31,10 @@
 }
 
 // NewAttempt returns an Attempt with a full retry budget.
-func NewAttempt(p slots, n *counter.Counter, i Isolate, steps ...exchanger.Filter) *Attempt {
+func NewAttempt(p slots, n *counter.Counter, i RefuseQuarantined, steps ...exchanger.Filter) *Attempt {
 	r := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) //nolint:gosec // Jitter.
 
-	return &Attempt{Steps: steps, Slots: p, Counter: n, Isolate: i, retrier: retrier.New(r)}
+	return &Attempt{Steps: steps, Slots: p, Counter: n, Quarantine: i, retrier: retrier.New(r)}
 }
 
 // Name implements exchanger.Filter.
@@ -81,7 +81,7 @@
 		return err
 	}
 
-	a.Isolate.recordResult(c, x, err)
+	a.Quarantine.recordResult(c, x, err)
 
 	a.Slots.Release(x.Reservation, granter.Outcome{
 		OK: !x.Result.TargetFailed, NeverSent: !x.Result.Sent && !x.Result.TargetFailed,
@@ -123,7 +123,7 @@
 
 	select {
 	case <-t.C:
-		_, ok := a.Isolate.allow(c, x)
+		_, ok := a.Quarantine.allow(c, x)
 
 		return ok
 	case <-c.Done():
--- a/internal/filterer/claim.go
+++ b/internal/filterer/claim.go
@@ -17,9 +17,9 @@
 	// maxClaimAge is how long after the start of a claimed call it may still be sent
 	// to a target.
 	maxClaimAge = 10 * time.Second
-	// settleTimeout is how long an answer is delayed until its outcome is recorded. The
-	// answer is sent after it even if the outcome is not recorded yet; a repeated call
-	// that arrives before then is asked to retry later.
+	// settleTimeout is how long an answer may be delayed while its outcome is being recorded.
+	// After that the answer is sent although the outcome is not recorded yet; a repeated
+	// call that arrives before the outcome is recorded is asked to retry later.
 	settleTimeout = 250 * time.Millisecond
 	// maxProgressRetryAfter limits the Retry-After of a call whose key belongs to a call
 	// in progress.
@@ -33,8 +33,8 @@
 }
 
 // Claim claims the idempotency key of a call that may not be repeated. It runs before
-// Pick reserves a slot: a repeated call whose first call has run must get the recorded
-// answer even when all targets are full, and never the outcome "not run".
+// Pick reserves a slot: if the first call with the key has run, a repeated one must get the
+// recorded answer even when all targets are full, and never the outcome "not run".
 type Claim struct {
 	Claims  claims
 	Counter *counter.Counter
--- a/internal/filterer/filterer_test.go
+++ b/internal/filterer/filterer_test.go
@@ -54,7 +54,7 @@
 	// responses are the results of the first calls to targets. Later calls succeed.
 	responses []func() (*http.Response, error)
 	sent      int
-	// stalled reports a stall of this process.
+	// stalled is what Stalled returns.
 	stalled bool
 }
 
@@ -124,7 +124,7 @@
 	return &http.Response{StatusCode: status, Header: h, Body: io.NopCloser(strings.NewReader(b))}
 }
 
-// configuration returns a configuration with two services.
+// configuration returns a configuration with two targets, which are services.
 func configuration() *follower.Config {
 	d := parser.Document{
 		Targets: map[string]parser.Target{}, Customers: map[string]parser.Customer{"c": {}},
@@ -152,7 +152,7 @@
 		filterer.Identify{Deadline: time.Minute, MaxDeadline: time.Minute},
 		filterer.Match{Config: func() *follower.Config { return f }},
 		filterer.Claim{Claims: w, Counter: n},
-		filterer.NewAttempt(w, n, filterer.Isolate{}, filterer.Pick{Slots: w, Region: "r", Counter: n},
+		filterer.NewAttempt(w, n, filterer.RefuseQuarantined{}, filterer.Pick{Slots: w, Region: "r", Counter: n},
 			filterer.Send{Targets: w, Slots: w, Stalls: w}, filterer.Relay{Targets: w, Counter: n}),
 	)
 	q := httptest.NewRequest(method, "/x", strings.NewReader("body"))
@@ -166,12 +166,13 @@
 	return r
 }
 
-// failWith returns a call to a target that fails.
+// failWith returns the function of a call to a target that fails with the given error.
 func failWith(err error) func() (*http.Response, error) {
 	return func() (*http.Response, error) { return nil, err }
 }
 
-// respondWith returns a call to a target that answers with a status and one header.
+// respondWith returns the function of a call to a target that answers with a status and one
+// header.
 func respondWith(status int, name, value string) func() (*http.Response, error) {
 	return func() (*http.Response, error) { return response(status, "", http.Header{name: {value}}), nil }
 }
--- a/internal/filterer/identify.go
+++ b/internal/filterer/identify.go
@@ -14,9 +14,11 @@
 
 const (
 	completionsPath = "/v1/chat/completions"
-	// bytesPerToken is the average length of a token, for estimates of a prompt's length.
+	// bytesPerToken is the average length of a token, used to estimate how many tokens a
+	// prompt has.
 	bytesPerToken = 4
-	// maxNameBytes is the largest length of a customer, idempotency key or chat in a header.
+	// maxNameBytes is the largest length of a customer, an idempotency key or the name of a
+	// chat in a header.
 	maxNameBytes = 256
 )
 
--- a/internal/filterer/pick.go
+++ b/internal/filterer/pick.go
@@ -146,7 +146,7 @@
 }
 
 // rankedCells returns the cells of the rule in the order in which to request a slot. The
-// cell with the target of the caller's placement token is first if it is in this region.
+// cell with the target of the caller's placement token is first if that cell is in this region.
 func (p Pick) rankedCells(x *exchanger.Exchange) []*matcher.Cell {
 	k := x.Chat
 	if k == 0 {
--- a/internal/filterer/pipeline.go
+++ b/internal/filterer/pipeline.go
@@ -103,7 +103,7 @@
 	defer stop()
 
 	err := runFilters(d, x, p.filters[2:])
-	Isolate{}.endTrial(x)
+	RefuseQuarantined{}.endTrial(x)
 	p.settle(x, err)
 
 	return err
--- a/internal/filterer/isolate.go
+++ b/internal/filterer/refuse_quarantined.go
@@ -21,8 +21,8 @@
 	// network partition.
 	maxOtherTargets = 2
 	// crashWindow is the period within which crashes of a target, reported by any router,
-	// count as the same crash. A target keeps its ID when it restarts, and no restart is
-	// faster than that.
+	// count as the same crash. A target keeps its ID when it restarts, and a restart takes
+	// longer than this period.
 	crashWindow = time.Second
 )
 
@@ -38,21 +38,21 @@
 	Crashed(c context.Context, a netip.AddrPort, others []netip.AddrPort) bool
 }
 
-// Isolate refuses calls that repeatedly crashed targets. Any further target that runs such
+// RefuseQuarantined refuses calls that repeatedly crashed targets. Any further target that runs such
 // a call would crash too and interrupt all its other calls. The zero value refuses no call.
-type Isolate struct {
-	// Quarantine is nil if no call is refused.
+type RefuseQuarantined struct {
+	// Quarantine decides which calls are refused; nil refuses none.
 	Quarantine quarantine
-	// Targets is required with a Quarantine.
+	// Targets checks whether a target crashed; it is required unless Quarantine is nil.
 	Targets prober
 }
 
 // Name implements exchanger.Filter.
-func (Isolate) Name() string { return "isolate" }
+func (RefuseQuarantined) Name() string { return "isolate" }
 
 // Apply computes the digest of the call and fails with a Refusal if the call is
 // quarantined.
-func (i Isolate) Apply(c context.Context, x *exchanger.Exchange) error {
+func (i RefuseQuarantined) Apply(c context.Context, x *exchanger.Exchange) error {
 	x.Digest = digester.Of(x.Customer, x.Request.Method, x.Request.URL.RequestURI(), x.Body)
 
 	v, ok := i.allow(c, x)
@@ -65,7 +65,7 @@
 
 // allow reports whether the call may be sent to a target now, and otherwise returns the
 // verdict that forbids it. It may wait for another trial of the same call.
-func (i Isolate) allow(c context.Context, x *exchanger.Exchange) (quarantiner.Verdict, bool) {
+func (i RefuseQuarantined) allow(c context.Context, x *exchanger.Exchange) (quarantiner.Verdict, bool) {
 	if i.Quarantine == nil {
 		return quarantiner.Verdict{}, true
 	}
@@ -79,7 +79,7 @@
 }
 
 // endTrial reports that the current trial of the call has ended, if there is one.
-func (Isolate) endTrial(x *exchanger.Exchange) {
+func (RefuseQuarantined) endTrial(x *exchanger.Exchange) {
 	if x.EndTrial != nil {
 		x.EndTrial()
 		x.EndTrial = nil
@@ -87,7 +87,7 @@
 }
 
 // recordResult records whether the target crashed while running the call or served it.
-func (i Isolate) recordResult(c context.Context, x *exchanger.Exchange, err error) {
+func (i RefuseQuarantined) recordResult(c context.Context, x *exchanger.Exchange, err error) {
 	switch {
 	case i.Quarantine == nil:
 	case err == nil:
--- a/internal/filterer/relay.go
+++ b/internal/filterer/relay.go
@@ -19,7 +19,7 @@
 const (
 	// maxAnswerBytes is the largest answer that is buffered in memory.
 	maxAnswerBytes = 32 << 20
-	// maxResumes is how often one streamed answer is resumed at most.
+	// maxResumes is the largest number of attempts to resume one streamed answer.
 	maxResumes = 3
 	// resumeDelay is the wait before each resume.
 	resumeDelay = 50 * time.Millisecond
@@ -60,8 +60,8 @@
 	}
 
 	if c.Err() != nil {
-		// The caller no longer waits for the answer. A cancellation at the
-		// target frees its slot for other calls.
+		// The caller no longer waits for the answer. A cancellation at the target
+		// frees the call's slot for other calls.
 		if x.ChatCompletion {
 			r.Counter.Add(counter.Canceled, 1)
 
--- a/internal/filterer/relay_test.go
+++ b/internal/filterer/relay_test.go
@@ -46,7 +46,7 @@
 	return response(http.StatusOK, events(offset, 3)+"data: [DONE]\n\n", http.Header{}), nil
 }
 
-// events returns the events of the tokens from offset from up to, but not including, to.
+// events returns the events of the tokens with the offsets in the range [from, to).
 func events(from, to int) string {
 	var b strings.Builder
 
--- a/internal/filterer/send.go
+++ b/internal/filterer/send.go
@@ -12,7 +12,7 @@
 	"github.com/auburntray/auburntray/internal/sender"
 )
 
-// errClaimExpired means that too much time has passed since the claim to send the call.
+// errClaimExpired means that the call was claimed too long ago to be sent to a target.
 var errClaimExpired = errors.New("too long after the claim")
 
 // targets sends calls to targets.
@@ -74,7 +74,7 @@
 	return s.status(x, r)
 }
 
-// status returns an error if the answer says that the call was not run, or is a server
+// status returns an error if the answer states that the call was not run, or is a server
 // error of a call that may be retried. It closes the body in that case.
 func (s Send) status(x *exchanger.Exchange, r *http.Response) error {
 	switch {
--- a/internal/filterer/stream.go
+++ b/internal/filterer/stream.go
@@ -93,8 +93,8 @@
 // reconnect resumes the stream. It retries if no connection to the target is made.
 //
 // An engine that interrupts streams is often too busy to accept a connection at once, but
-// accepts the next. Without the retry, 3 of 2,133 streams failed permanently next to busy
-// processes because of a single failed dial.
+// accepts the next. Without the retry, 3 of 2,133 streams failed permanently, on a machine
+// with other busy processes, because of a single failed dial.
 func (s *stream) reconnect(c context.Context) error {
 	for {
 		s.resumes++
@@ -110,7 +110,8 @@
 	}
 }
 
-// resume requests the rest of the stream from the current offset on after resumeDelay.
+// resume waits for resumeDelay and then requests the rest of the stream, from the current
+// offset on.
 func (s *stream) resume(c context.Context) error {
 	t := time.NewTimer(resumeDelay)
 	defer t.Stop()
--- a/internal/forwarder/admit.go
+++ b/internal/forwarder/admit.go
@@ -16,16 +16,16 @@
 	// that has not begun to answer.
 	abandonFactor = 4
 	// minLaneLoad is the load per slot of a group below which calls are not divided into lanes. No
-	// target has more than twice the mean load, so below this value no calls wait at any target,
+	// target has more than twice the mean load, so below this value no call waits at any target,
 	// and a late answer has another cause, such as a prompt that is read for the first time.
 	minLaneLoad = 0.5
-	// saturatedLoad is the load per slot from which calls wait at the average target. Below it no
-	// call is refused.
+	// saturatedLoad is the load per slot of a group from which calls wait at the average target.
+	// Below this value no call is refused.
 	saturatedLoad = 1.0
 )
 
 // admit decides whether a call is sent ahead of the calls that can no longer begin within their
-// latency objective, behind them, or refused. A lane holds the calls of one priority class, with
+// latency objective, sent behind the other calls, or refused. A lane holds the calls of one priority class, with
 // those that are expected to be late in a lane of their own. Only streams are admitted by lane,
 // since only their targets order waiting calls by priority; targets refuse other calls when they
 // are full.
--- a/internal/forwarder/admit_test.go
+++ b/internal/forwarder/admit_test.go
@@ -14,8 +14,8 @@
 
 // Guards against a queue in which every answer becomes late: more calls arrive than a target can
 // begin, and each waits behind all earlier ones. Once some calls are overdue, a part of the new
-// ones must be sent as late, behind the others. While the target has free slots none is, however
-// late an answer is.
+// ones must be sent as late, behind the others. While the target has free slots no call is sent as
+// late, however late its answer is.
 func TestLateCallsAreSentBehindOthers(t *testing.T) {
 	tests := map[string]struct {
 		waiting int
--- a/internal/forwarder/attempt.go
+++ b/internal/forwarder/attempt.go
@@ -14,8 +14,8 @@
 	"github.com/auburntray/auburntray/internal/selector"
 )
 
-// maxTargetsTried bounds the targets that a call is tried at while none can be reached. With
-// dialTimeout for each, that takes about half a second.
+// maxTargetsTried bounds the number of targets that a call is tried at if none of them can be
+// reached. With dialTimeout for each, that takes about half a second.
 const maxTargetsTried = 5
 
 // result is the outcome of one attempt.
@@ -48,7 +48,7 @@
 	for {
 		t, ok := f.choose(c, x)
 		if !ok {
-			return f.giveUp(c, x, last)
+			return f.finalAnswer(c, x, last)
 		}
 
 		last = f.attempt(c, x, t)
@@ -61,7 +61,7 @@
 		}).Info()
 
 		if c.Err() != nil || !f.mayRetry(x, last) {
-			return f.giveUp(c, x, last)
+			return f.finalAnswer(c, x, last)
 		}
 	}
 }
@@ -74,8 +74,8 @@
 	f.budgeter.RecordCall(time.Now(), group)
 }
 
-// finishAttempt ends the count of a call at a target and returns the changes of the targets' health
-// status. Relayed is set when a part of an answer has reached the caller.
+// finishAttempt stops counting a call at a target and returns the changes of the targets' health
+// status. The parameter relayed states whether a part of an answer was sent to the caller.
 func (f *Forwarder) finishAttempt(t selector.Choice, r result, relayed bool) []selector.HealthChange {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -89,7 +89,8 @@
 	return f.selector.HealthChanges()
 }
 
-// mayRetry reports whether the call may be sent to another target. It consumes retry budget if so.
+// mayRetry reports whether the call may be sent to another target. If so, it consumes retry budget,
+// unless the call was not sent.
 func (f *Forwarder) mayRetry(x *exchange, r result) bool {
 	// A call that was never sent costs no target anything and needs no retry budget.
 	if errors.Is(r.err, errNotSent) {
@@ -114,8 +115,8 @@
 	return f.budgeter.TryRepeat(time.Now(), x.group, f.state.Instances())
 }
 
-// giveUp returns the final answer to a call that no target has answered.
-func (f *Forwarder) giveUp(c context.Context, x *exchange, r result) error {
+// finalAnswer returns the final answer to a call that no target has answered.
+func (f *Forwarder) finalAnswer(c context.Context, x *exchange, r result) error {
 	switch {
 	case x.request.Context().Err() != nil:
 		return errors.Mark(errors.Newf("%v", r.err), errCallerLeft)
@@ -137,8 +138,7 @@
 	}
 }
 
-// refuseUnavailable returns the refusal of a call that was not run and that no target is available
-// for.
+// refuseUnavailable returns the refusal of a call that was not run because no target is available.
 func (f *Forwarder) refuseUnavailable(x *exchange) *Refusal {
 	r := f.state.Registry()
 	backoff := f.remainingBackoff(x, r)
@@ -149,7 +149,7 @@
 	case len(r.Groups[x.group]) == 0 && r.HasLeaving(x.group):
 		return refuse(http.StatusServiceUnavailable, TargetsLeaving, leavingWait, "all targets leave")
 	case backoff > 0:
-		return refuse(http.StatusServiceUnavailable, TargetsBackingOff, afterSpread(backoff), "all targets have asked for rest")
+		return refuse(http.StatusServiceUnavailable, TargetsBackingOff, withJitterMargin(backoff), "all targets have asked for rest")
 	case x.coldTargets > 0:
 		return refuse(http.StatusServiceUnavailable, TargetsCold, noTargetWait, "%d targets are cold and bear no more calls now", x.coldTargets)
 	default:
@@ -157,9 +157,9 @@
 	}
 }
 
-// impliesNotRun reports whether callers take a status to mean that the call was not run. A target's
-// answer with such a status is not relayed if the target did not state that the call was not run:
-// the gateway would promise the caller something that may be false.
+// impliesNotRun reports whether callers conclude from a status that the call was not run. A target's
+// answer with such a status is not relayed unless the target stated that it did not run the call:
+// the call may have run, and the caller would conclude that it did not.
 func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -212,13 +212,13 @@
 	return r
 }
 
-// timedOut reports whether an attempt ended because a time-out of this instance expired.
+// timedOut reports whether an attempt failed because a time-out set by this instance expired.
 func timedOut(c context.Context, err error) bool {
 	return detector.TimedOut(err) || errors.Is(context.Cause(c), errSlow)
 }
 
-// reportHealth logs changes of the targets' health status with the fields of the call that revealed
-// them, and notifies other instances of processes that this instance itself found gone.
+// reportHealth logs changes of the targets' health status, with the given log fields of the call that
+// revealed the changes. It notifies other instances of processes that this instance itself found gone.
 func (f *Forwarder) reportHealth(l []selector.HealthChange, fields logrus.Fields) {
 	for _, b := range l {
 		e := "backInUse"
@@ -292,7 +292,8 @@
 	f.selector.ConfirmPlacements(time.Now(), t)
 }
 
-// recordFirstPart records how long the call and the attempt took until the answer began.
+// recordFirstPart records the times from the start of the call and of the attempt until the answer
+// began.
 func (f *Forwarder) recordFirstPart(x *exchange, t selector.Choice) {
 	if x.rule.Latency <= 0 {
 		return
--- a/internal/forwarder/buffered.go
+++ b/internal/forwarder/buffered.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	// maxAnswerBytes bounds the body of an answer that is buffered whole.
+	// maxAnswerBytes bounds the body of an answer that is buffered completely.
 	maxAnswerBytes = 16 << 20
-	// answerWaitFactor is the part of the latency objective that an idempotent call waits for a
-	// target before it is sent to another one, which then still has time to answer. Well over nine
-	// in ten answers arrive earlier.
+	// answerWaitFactor is the fraction of the latency objective that an idempotent call waits for
+	// the answer of a target before it is sent to another target, which then still has time to
+	// answer. Well over nine in ten answers arrive earlier.
 	answerWaitFactor = 0.6
-	// streamWaitFactor is the same for the first event of a stream. It is greater because an engine
-	// that reads long prompts is slow for a while, and a second engine would have to read the
-	// prompt again.
+	// streamWaitFactor is the multiple of the latency objective that a call waits for the first
+	// event of a stream. It is greater than answerWaitFactor because an engine that reads long
+	// prompts is slow meanwhile, and a second engine would have to read the prompt again.
 	streamWaitFactor = 1.5
 )
 
@@ -45,8 +45,8 @@
 	_, _ = w.Write(a.body)
 }
 
-// bufferedAttempt makes an attempt whose answer is read whole before any of it is relayed, so that
-// the call can be sent again if the answer breaks off.
+// bufferedAttempt makes an attempt whose answer is read completely before any part of it is relayed,
+// so that the call can be sent again if the answer is incomplete.
 func (f *Forwarder) bufferedAttempt(c context.Context, stop context.CancelCauseFunc, x *exchange, t selector.Choice) result {
 	if d := f.firstPartTimeout(x); d > 0 {
 		group := x.group
@@ -60,7 +60,7 @@
 		return r
 	}
 
-	defer a.Body.Close() //nolint:errcheck // Read to its end or abandoned.
+	defer a.Body.Close() //nolint:errcheck // The body was read to its end or is abandoned.
 
 	b, err := io.ReadAll(io.LimitReader(a.Body, maxAnswerBytes+1))
 	if err == nil && len(b) > maxAnswerBytes {
--- a/internal/forwarder/client.go
+++ b/internal/forwarder/client.go
@@ -36,14 +36,14 @@
 // client sends calls to targets. It is safe for concurrent use.
 type client struct {
 	dial dial
-	// pool reuses connections; singleUse makes a new one for each call.
+	// pool reuses connections; singleUse makes a new connection for each call.
 	pool      *connPool
 	singleUse *http.Transport
 	// prober finds out whether the process of a target has crashed.
 	prober *prober.Prober
 }
 
-// dial makes a connection. It is bounded by dialTimeout.
+// dial makes a connection, or fails after dialTimeout.
 type dial func(c context.Context, network, address string) (net.Conn, error)
 
 func newClient(d Dialer) *client {
@@ -74,7 +74,7 @@
 }
 
 // send sends a call to a target and returns the answer with its body unread. It fails with
-// errNotSent if provably nothing was sent, otherwise with errBroken.
+// errNotSent if certainly nothing was sent, and otherwise with errBroken.
 func (k *client) send(c context.Context, x *exchange, t *discoverer.Target, h http.Header) (*http.Response, error) {
 	u, err := url.ParseRequestURI(x.request.RequestURI)
 	if err != nil {
@@ -91,8 +91,8 @@
 	q := &http.Request{
 		Method: x.request.Method, URL: u, Host: x.request.Host, Header: h,
 		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
-		// http.Transport resends a request by itself if it has no body or GetBody is set. It never
-		// does so with a body that can be read only once.
+		// http.Transport resends a request by itself if the request has no body or its GetBody is
+		// set. It never resends a request whose body can be read only once.
 		Body: io.NopCloser(bytes.NewReader(x.body)), ContentLength: int64(len(x.body)),
 	}
 	q = q.WithContext(httptrace.WithClientTrace(c, &httptrace.ClientTrace{
--- a/internal/forwarder/connectivity.go
+++ b/internal/forwarder/connectivity.go
@@ -11,21 +11,21 @@
 	"github.com/auburntray/auburntray/internal/selector"
 )
 
-// maxCutOff is how long an instance that is cut off asks its callers to use other instances. A
-// longer cut may leave no instance on the other side, and then it is better to serve what this one
-// can.
+// maxCutOff is how long an instance that is cut off by a network partition makes its callers use other
+// instances. During a longer partition there may be no reachable instance elsewhere, so this one then
+// serves calls as far as it can.
 const maxCutOff = 15 * time.Second
 
-// minCutOff is how long an instance must appear to be cut off before it says so. Two targets of
-// each data centre that become unreachable at once look like a cut until other targets there have
-// been tried.
+// minCutOff is how long an instance must appear to be cut off before it reports that it is. If two
+// targets of each data centre become unreachable at once, that looks like a partition until other
+// targets there have been tried.
 const minCutOff = 200 * time.Millisecond
 
 // CutOff reports whether this instance reaches only the minority of the data centres, so that other
 // instances would serve its callers better. It still serves the calls that arrive. It is safe for
 // concurrent use.
 func (f *Forwarder) CutOff() bool {
-	b := f.cutSince.Load()
+	b := f.cutOffSince.Load()
 
 	if b == nil {
 		return false
@@ -38,7 +38,7 @@
 
 // CheckConnectivity determines whether this instance is cut off and, while it is, connects to targets in the
 // unreachable data centres to find out whether they can be reached again. Since the callers use
-// other instances meanwhile, no call would show this. It is to be called periodically.
+// other instances meanwhile, no call would reveal that. CheckConnectivity is to be called periodically.
 func (f *Forwarder) CheckConnectivity(c context.Context) {
 	f.mu.Lock()
 	l := f.selector.PartitionProbes(f.state.Registry())
@@ -55,18 +55,18 @@
 	g.Wait()
 }
 
-// recordCutOff records how many data centres are unreachable because of a cut; zero means that
-// there is no cut.
+// recordCutOff records how many data centres are unreachable because of a partition; zero means that
+// this instance is not cut off.
 func (f *Forwarder) recordCutOff(centres int) {
-	was := f.cutSince.Load()
+	was := f.cutOffSince.Load()
 
 	switch {
 	case centres > 0 && was == nil:
 		n := time.Now()
-		f.cutSince.Store(&n)
+		f.cutOffSince.Store(&n)
 		logrus.WithFields(logrus.Fields{"event": "cutOff", "unreachable": centres}).Warn()
 	case centres == 0 && was != nil:
-		f.cutSince.Store(nil)
+		f.cutOffSince.Store(nil)
 		logrus.WithFields(logrus.Fields{"event": "cutOver", "lasted": time.Since(*was).Round(time.Millisecond)}).Info()
 	}
 }
--- a/internal/forwarder/dialect.go
+++ b/internal/forwarder/dialect.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Dialect maps between HTTP headers and what callers, targets and the gateway send each other. It
-// must be safe for concurrent use.
+// Dialect converts between HTTP headers and the information that callers, targets and the gateway
+// exchange. It must be safe for concurrent use.
 type Dialect interface {
 	// ReadCall returns the description of a call from a caller's headers. It fails if a header is
 	// invalid.
@@ -15,8 +15,8 @@
 	// WriteAttempt removes the headers that are not meant for targets from a call's headers and adds those
 	// that the gateway sends to targets.
 	WriteAttempt(h http.Header, o AttemptInfo)
-	// ReadReply returns what the headers and the status of a target's answer say about the call and
-	// the target.
+	// ReadReply returns the information about the call and the target in the headers and the status
+	// of a target's answer.
 	ReadReply(h http.Header, status int) Reply
 }
 
@@ -35,7 +35,7 @@
 	LastEvent string
 }
 
-// Prompt is a sequence of parts.
+// Prompt describes the prompt of a call as a sequence of parts.
 type Prompt struct {
 	Model string
 	// Parts are the parts in order. The last one is specific to the call or its chat.
@@ -48,7 +48,7 @@
 	Tokens int
 }
 
-// AttemptInfo describes an attempt to the target.
+// AttemptInfo is what the gateway sends to a target about an attempt, besides the call itself.
 type AttemptInfo struct {
 	// Incarnation identifies the only process that may run the call.
 	Incarnation string
@@ -62,8 +62,8 @@
 	Late     bool
 	// LastEvent is the ID of the event after which the stream resumes.
 	LastEvent string
-	// Source is a target that caches the call's prompt, from which this one may fetch the parts it
-	// lacks; the zero value if there is none.
+	// Source is the address of another target that has the call's prompt cached. The target may
+	// fetch the parts that it lacks from there; the zero value if there is none.
 	Source netip.AddrPort
 }
 
@@ -75,12 +75,13 @@
 	NotRun bool
 	// Sealed is set when the answer carries proof that a target made it.
 	Sealed bool
-	// Misdirected is set when another process now has the address.
+	// Misdirected is set when the answer came from another process, which now has the address of
+	// the target.
 	Misdirected bool
 	// Leaving is set when the target's process is about to shut down and accepts no new calls.
 	Leaving bool
-	// Backoff is how long the target, which has just refused a call, asks this instance to send none;
-	// zero if not stated.
+	// Backoff is how long this instance should send no calls to the target, which states this when
+	// it refuses a call; zero if not stated.
 	Backoff time.Duration
 	// Running and Waiting are the numbers of calls that the target runs and has queued; Slots is
 	// how many it runs at most. All are zero if not stated.
--- a/internal/forwarder/evacuation_test.go
+++ b/internal/forwarder/evacuation_test.go
@@ -14,7 +14,7 @@
 	"github.com/auburntray/auburntray/internal/reserver"
 )
 
-// evacuate evacuates the given data centres only; without any it ends all evacuations.
+// evacuate evacuates the given data centres and ends the evacuation of all others.
 func (g *gateway) evacuate(centres ...string) {
 	c := make(map[string]bool)
 	for _, x := range centres {
@@ -48,8 +48,8 @@
 func TestEvacuatedDataCentreReceivesNoCalls(t *testing.T) {
 	for name, x := range map[string]struct {
 		path string
-		// answer returns the answer of the first target, and before runs before the call; calls go
-		// to the first target by preference.
+		// answer returns the answer function of the first target, which calls prefer; nil means
+		// answerOK. The function before, if set, is run before the call.
 		answer func(g *gateway) func(n net.Conn, s received)
 		before func(g *gateway)
 		status int
@@ -117,8 +117,8 @@
 	}
 }
 
-// Guards against the fallback to excluded targets, used when most targets of a group fail, which
-// must not select targets of an evacuated data centre.
+// Guards against targets of an evacuated data centre being selected by the fallback to excluded
+// targets, which is used when most targets of a group fail.
 func TestFallbackToExcludedTargetsKeepsEvacuation(t *testing.T) {
 	i := is.New(t)
 	a, b := &target{answer: answerOK}, &target{answer: answerOK}
--- a/internal/forwarder/exchange.go
+++ b/internal/forwarder/exchange.go
@@ -25,23 +25,23 @@
 	catalog  *cataloger.Catalog
 	rule     *cataloger.Rule
 	customer string
-	// regions are those whose targets may run the customer's calls; none means all.
+	// regions are the regions whose targets may run the customer's calls; empty means all.
 	regions  []string
 	priority int
 	deadline time.Time
 	body     []byte
-	// digest identifies the call's content. It is equal for all sendings of the same call, whatever
-	// their ID.
+	// digest identifies the call's content. It is equal whenever the same call is sent, also under
+	// another ID.
 	digest digester.Digest
-	// endProbe ends a probe call, the one permitted sending of a call that is suspected of crashing
-	// targets; nil while none is in progress.
-	endProbe func()
+	// endTrial ends the trial in progress: the one attempt permitted at a time for a call that is
+	// suspected of crashing targets. It is nil while there is none.
+	endTrial func()
 
 	// sharedPrefixes are the prompt prefixes that other calls share, longest first.
 	sharedPrefixes []selector.Prefix
 	group          string
-	// tried are the IDs of the targets that were selected; sent is how many of them the call was
-	// sent to.
+	// tried holds the IDs of the targets that were selected; sent is the number of targets to which
+	// the call was sent.
 	tried []string
 	sent  int
 	// choice is the last target selected.
@@ -50,28 +50,30 @@
 	reservation reservation
 	// sharded is set when the call may use only its customer's shard of the targets.
 	sharded bool
-	// targetsFull is set when no target that was asked had a free slot or space in its queue.
+	// targetsFull is set when no target from which a slot was requested had a free slot or space in
+	// its queue.
 	targetsFull bool
 	// coldTargets is how many targets the last selection skipped because they are cold.
 	coldTargets int
-	// backingOff is how many it skipped because they have requested a backoff.
+	// backingOff is how many targets the last selection skipped because they requested a backoff.
 	backingOff int
 	// reply is the reply of the last target.
 	reply Reply
 	// attemptStart is when the current attempt began.
 	attemptStart time.Time
-	// ticket is the call's admission to the lane of the calls that should begin within their
-	// latency objective or, if late is set, to the lane of the others.
+	// ticket is the call's admission to a lane: that of the calls expected to begin within their
+	// latency objective or, if late is set, that of the calls expected to begin later.
 	ticket *admitter.Ticket
 	late   bool
 	// mayHaveRun is set when a target may have run the call.
 	mayHaveRun bool
 	// relayed is set when a part of the answer has been sent to the caller.
 	relayed bool
-	// lastEvent is the ID of the last event that the caller has.
+	// lastEvent is the ID of the last event that the caller has received.
 	lastEvent string
-	// firstPart is the time from the start of the call to the first part of the answer, lastRelay
-	// when the latest part was relayed, and longestGap the longest time between two parts.
+	// firstPart is the time from the start of the call to the first part of the answer, longestGap
+	// the longest time between two parts, and lastRelay the time at which the latest part was
+	// relayed.
 	firstPart, longestGap time.Duration
 	lastRelay             time.Time
 }
--- a/internal/forwarder/fake_test.go
+++ b/internal/forwarder/fake_test.go
@@ -75,8 +75,8 @@
 	return o
 }
 
-// received is a call as it reached a target. Closed is closed when the gateway closes the
-// connection.
+// received is a call as it reached a target. The channel closed is closed when the gateway closes
+// the connection.
 type received struct {
 	at     time.Time
 	target string
@@ -120,15 +120,15 @@
 				return
 			}
 
-			go x.connection(n)
+			go x.serveConn(n)
 		}
 	}()
 
 	return l.Addr().(*net.TCPAddr).AddrPort()
 }
 
-func (x *target) connection(n net.Conn) {
-	defer n.Close() //nolint:errcheck // The test's own.
+func (x *target) serveConn(n net.Conn) {
+	defer n.Close() //nolint:errcheck // A connection of the test itself.
 
 	r := bufio.NewReader(n)
 
@@ -154,8 +154,8 @@
 		go func() {
 			defer close(done)
 
-			// The gateway sends nothing while it waits for the answer, so the read ends when it
-			// closes the connection.
+			// The gateway sends nothing while it waits for the answer, so the read ends when
+			// the gateway closes the connection.
 			if _, err := r.Peek(1); err != nil {
 				close(s.closed)
 			}
@@ -238,8 +238,8 @@
 	stalled  bool
 	// markLeaving is called with processes that announced their shutdown.
 	markLeaving func(p discoverer.Process) bool
-	// others is how many other instances there are.
-	others int
+	// otherInstances is the number of instances besides the tested one.
+	otherInstances int
 }
 
 func (f *clusterState) Catalog() *cataloger.Catalog {
@@ -265,7 +265,7 @@
 
 func (f *clusterState) Fresh() bool                           { return !f.stale }
 func (f *clusterState) MarkLeaving(p discoverer.Process) bool { return f.markLeaving(p) }
-func (f *clusterState) Instances() int                        { return 1 + f.others }
+func (f *clusterState) Instances() int                        { return 1 + f.otherInstances }
 func (f *clusterState) Stalled(time.Time) bool                { return f.stalled }
 
 func (f *clusterState) Registry() *discoverer.Registry {
@@ -359,15 +359,15 @@
 	return x
 }
 
-// newGateway starts a gateway. Calls go to the first target by preference.
-func newGateway(t testing.TB, l ...*target) *gateway { //nolint:thelper // As above.
+// newGateway starts a gateway in front of the given targets. It prefers the first one.
+func newGateway(t testing.TB, l ...*target) *gateway { //nolint:thelper // One letter, as in all code here.
 	t.Helper()
 
 	return newGatewayWithDialer(t, &net.Dialer{}, l...)
 }
 
 // newGatewayWithDialer is newGateway with a dialer for the connections to targets.
-func newGatewayWithDialer(t testing.TB, d forwarder.Dialer, l ...*target) *gateway { //nolint:thelper // As above.
+func newGatewayWithDialer(t testing.TB, d forwarder.Dialer, l ...*target) *gateway { //nolint:thelper // One letter, as in all code here.
 	t.Helper()
 	logrus.SetLevel(logrus.FatalLevel)
 
@@ -419,13 +419,13 @@
 }
 
 // call sends a call with a valid key.
-func (g *gateway) call(t testing.TB, method, path, body string, headers ...string) answer { //nolint:thelper // As above.
+func (g *gateway) call(t testing.TB, method, path, body string, headers ...string) answer { //nolint:thelper // One letter, as in all code here.
 	t.Helper()
 
 	return g.callWith(t, t.Context(), method, path, body, headers...)
 }
 
-func (g *gateway) callWith(t testing.TB, c context.Context, method, path, body string, headers ...string) answer { //nolint:thelper // As above.
+func (g *gateway) callWith(t testing.TB, c context.Context, method, path, body string, headers ...string) answer { //nolint:thelper // One letter, as in all code here.
 	t.Helper()
 
 	q, err := http.NewRequestWithContext(c, method, g.URL+path, bytes.NewReader([]byte(body)))
--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -31,15 +31,15 @@
 	Catalog() *cataloger.Catalog
 	// Synced returns a channel that is closed once a catalog and the list of targets are known.
 	Synced() <-chan struct{}
-	// Fresh reports whether the catalog was recently confirmed, so that an entry it lacks does not
-	// exist.
+	// Fresh reports whether the catalog was recently confirmed, so that a rule or key that is
+	// missing from it does not exist.
 	Fresh() bool
 	// Registry returns the known targets.
 	Registry() *discoverer.Registry
 	// MarkLeaving records that a process announced its shutdown, so that no calls are sent to it, and
 	// reports whether this was new.
 	MarkLeaving(p discoverer.Process) bool
-	// Stalled reports whether this process was stalled at some time after since.
+	// Stalled reports whether this process was stalled at any time after since.
 	Stalled(since time.Time) bool
 	// Instances returns how many instances share the retry budget.
 	Instances() int
@@ -51,7 +51,7 @@
 	DataCentre string
 	// DefaultTimeout is the time-out of calls whose callers state none.
 	DefaultTimeout time.Duration
-	// MaxBody bounds a request body, in bytes, where the catalog sets no limit.
+	// MaxBody bounds a request body, in bytes, if the catalog sets no limit.
 	MaxBody int64
 	// Regions are the regions of the data centres, by data centre name.
 	Regions map[string]string
@@ -75,12 +75,12 @@
 	budgeter *budgeter.Budgeter
 	admitter *admitter.Admitter
 	// sharder decides when the customers of a group are limited to their shards of its targets.
-	// Sharded holds the groups in which they currently are.
+	// The map sharded is true for the groups in which customers are currently limited.
 	sharder *sharder.Sharder
 	sharded map[string]bool
 
-	// cutSince is when this instance was found to be cut off; nil while it is not.
-	cutSince atomic.Pointer[time.Time]
+	// cutOffSince is when this instance was found to be cut off; nil while it is not.
+	cutOffSince atomic.Pointer[time.Time]
 
 	// notifyGone notifies other instances that a process is gone.
 	notifyGone func(p discoverer.Process)
@@ -160,7 +160,7 @@
 
 // serve processes a call step by step. Each step may end the call with a refusal.
 func (f *Forwarder) serve(c context.Context, x *exchange) error {
-	defer x.finishProbe()
+	defer x.finishTrial()
 
 	for _, s := range []func(*exchange) error{f.readCall, f.matchRule, f.authorize, f.readBody, f.checkQuarantine} {
 		if err := s(x); err != nil {
@@ -227,8 +227,8 @@
 
 	f.meter.Refusal(string(x.Reason))
 
-	// The line allows operators to find the call by its ID. Under high load only the metric
-	// remains.
+	// The log line allows operators to find the call by its ID. Under high load the line is omitted
+	// and only the metric counts the call.
 	if f.rejectedLogs.Allow() {
 		f.logRejected(r, x)
 	}
--- a/internal/forwarder/forwarder_test.go
+++ b/internal/forwarder/forwarder_test.go
@@ -104,7 +104,7 @@
 	is.True(len(waits) > 5)
 }
 
-// faults returns what a target may do to a call.
+// faults returns answer functions of faulty targets, by name of the fault.
 func faults() map[string]func(n net.Conn, s received) {
 	return map[string]func(n net.Conn, s received){
 		"ok":            answerOK,
@@ -166,7 +166,7 @@
 				a, b := &target{answer: faults()[name]}, &target{answer: answerOK}
 				g := newGateway(t, a, b)
 
-				// A method without a body, which HTTP libraries resend by themselves.
+				// HTTP libraries resend a call with this method, which has no body, by themselves.
 				o := g.call(t, http.MethodGet, path, "")
 				is.NoErr(o.err)
 				is.Equal(o.status, w.status)
@@ -302,7 +302,7 @@
 	is.True(time.Since(s) < 400*time.Millisecond)
 }
 
-// muteDialer lets connections to the given address time out.
+// muteDialer is a dialer whose connections to the given address time out.
 type muteDialer struct {
 	net.Dialer
 
@@ -319,7 +319,7 @@
 	return d.Dialer.DialContext(c, network, address)
 }
 
-// Guards against a stalled instance that takes all targets for unreachable: during a pause of some
+// Guards against a stalled instance that considers all targets unreachable: during a stall of several
 // seconds every pending dial times out, and the few remaining targets would receive all calls.
 func TestStallDoesNotExcludeTargets(t *testing.T) {
 	for name, x := range map[string]struct {
@@ -345,8 +345,8 @@
 }
 
 // Guards against callers that keep using an instance whose data centre is cut off. The instance
-// must report the cut, close its callers' connections with the answers, and detect the end of the
-// cut by itself, since no more calls arrive.
+// must report that it is cut off, close its callers' connections with the answers, and detect the
+// end of the partition by itself, since no more calls arrive.
 func TestCutOffInstanceClosesConnections(t *testing.T) {
 	is := is.New(t)
 	d := &muteDialer{}
@@ -401,18 +401,18 @@
 	}
 
 	for name, x := range map[string]struct {
-		targets []*target
-		others  int
-		want    string
+		targets        []*target
+		otherInstances int
+		want           string
 	}{
 		"another target and retry budget": {targets: []*target{{answer: slow}, {answer: answerOK}}, want: "from t1"},
-		"no retry budget":                 {targets: []*target{{answer: slow}, {answer: answerOK}}, others: 1 << 20, want: "from t0"},
+		"no retry budget":                 {targets: []*target{{answer: slow}, {answer: answerOK}}, otherInstances: 1 << 20, want: "from t0"},
 		"no other target":                 {targets: []*target{{answer: slow}}, want: "from t0"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			g := newGateway(t, x.targets...)
-			g.state.others = x.others
+			g.state.otherInstances = x.otherInstances
 
 			a := g.call(t, http.MethodGet, "/idempotent/", "")
 			is.Equal(a.status, http.StatusOK)
--- a/internal/forwarder/intake.go
+++ b/internal/forwarder/intake.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// syncWaitFraction is the part of its time-out that a call waits for the first catalog and list
-	// of targets. The rest is enough for the caller to retry at another instance.
+	// syncWaitFraction is the fraction of its time-out that a call waits for the first catalog and
+	// list of targets. The rest is enough for the caller to retry at another instance.
 	syncWaitFraction = 0.25
 	// maxSyncWait bounds that wait. When many instances start at once and read a long catalog, the
-	// platform takes most of a second; anything longer is an outage.
+	// platform takes most of a second to send it; if it takes longer, there is an outage.
 	maxSyncWait = time.Second
 )
 
@@ -80,8 +80,8 @@
 }
 
 // deny returns the refusal of a call that the catalog does not permit. An instance without a fresh
-// catalog may lack the newest rules and keys, so it asks callers to come back, which takes them to
-// another instance; a final refusal would turn them away for good.
+// catalog may lack the newest rules and keys, so it asks callers to retry, and the retry reaches
+// another instance; after a final refusal they would not retry.
 func (f *Forwarder) deny(status int, r Reason, m string) error {
 	if !f.state.Fresh() {
 		return refuse(http.StatusServiceUnavailable, StaleCatalog, staleWait, "%s in a catalog that may be old", m)
--- a/internal/forwarder/intake_test.go
+++ b/internal/forwarder/intake_test.go
@@ -9,9 +9,10 @@
 )
 
 // Guards against refusals during a start of all instances of a large fleet, when each receives its
-// catalog only after most of a second because the platform sends a long one to all. After a fixed
-// wait, callers with seconds left were refused by one instance after the other. A call waits for a
-// part of its own time-out; a caller with little time is refused while it can still retry.
+// catalog only after most of a second because the platform sends a long one to all. With a fixed
+// wait, callers with seconds left were refused by one instance after the other. A call must instead
+// wait for a fraction of its own time-out; a caller with little time must be refused while it can
+// still retry.
 func TestCallsWaitForTheFirstCatalog(t *testing.T) {
 	for name, x := range map[string]struct {
 		timeout string
--- a/internal/forwarder/pool.go
+++ b/internal/forwarder/pool.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// idleTimeout is how long an idle connection is kept. Targets close idle connections after some
-	// seconds, and a call sent at that moment is lost.
+	// idleTimeout is how long an idle connection is retained. Targets close connections that are
+	// idle for several seconds, and a call sent at that moment is lost.
 	idleTimeout = 2 * time.Second
 	// idlePerTarget bounds the idle connections to a target. Each takes two buffers of 4 KiB and
 	// two goroutines.
--- a/internal/forwarder/process_test.go
+++ b/internal/forwarder/process_test.go
@@ -49,7 +49,7 @@
 	is.Equal(g.excluded(), []string{"t0"})
 	is.Equal(len(notified), 0) // The reporting instance has notified all others.
 
-	// It restarts once more and is readmitted at once.
+	// The target restarts once more and is readmitted at once.
 	g.setTargets(g.restarted("t0"))
 	is.Equal(g.excluded(), []string{})
 }
@@ -178,7 +178,7 @@
 // Guards against calls on pooled connections to a process that no longer exists. When a machine
 // crashes with its network, its connections are never closed, and after a restart under the same ID
 // and address a call on one of them waits until its deadline. They must be closed when the list
-// shows the new process; a connection in use is closed when its call is done.
+// shows the new process; a connection in use must be closed when its call is done.
 func TestPooledConnectionsEndWithTheirProcess(t *testing.T) {
 	for name, x := range map[string]struct {
 		change func(g *gateway)
@@ -236,7 +236,8 @@
 	}
 }
 
-// As above, for a connection that is idle when the list changes.
+// Guards against the same failure as TestPooledConnectionsEndWithTheirProcess, for a connection that is
+// idle when the list changes.
 func TestIdleConnectionsEndWithTheirProcess(t *testing.T) {
 	is := is.New(t)
 	d := &recordingDialer{}
--- a/internal/forwarder/quarantine.go
+++ b/internal/forwarder/quarantine.go
@@ -19,11 +19,11 @@
 // Quarantine records the calls that were running when targets crashed, across all instances. It is
 // implemented by replicator.Replicator.
 type Quarantine interface {
-	// Admit decides whether a call with a deadline may be sent to a target. The returned function
-	// must be called when the target has answered or crashed.
+	// Admit reports whether a call with a deadline may be sent to a target, and the verdict on it.
+	// The returned function must be called when the target has answered or crashed.
 	Admit(c context.Context, d digester.Digest, deadline time.Time) (quarantiner.Verdict, bool, func())
-	// RecordCrash records that a process crashed while a call was running there, and returns the verdict
-	// on further sendings of the call.
+	// RecordCrash records that a process crashed while a call was running there, and returns the new
+	// verdict on the call.
 	RecordCrash(d digester.Digest, p discoverer.Name) quarantiner.Verdict
 	// RecordServed records that a call was answered in full.
 	RecordServed(d digester.Digest)
@@ -34,10 +34,9 @@
 	f.quarantine = q
 }
 
-// checkQuarantine refuses a quarantined call, under which targets have crashed repeatedly, before
-// it costs anything.
-//
-// Forwarded, it would crash each target that runs it, and break all other calls there.
+// checkQuarantine refuses a quarantined call, which targets have repeatedly crashed while running,
+// before any work is done for it. If it were forwarded, it would crash each target that runs it, and
+// all other calls there would fail.
 func (f *Forwarder) checkQuarantine(x *exchange) error {
 	v, ok := f.quarantineAllows(x)
 
@@ -51,26 +50,26 @@
 	}
 }
 
-// quarantineAllows decides whether a call may be sent to a target now. It ends the previous probe
-// call, if there is one.
+// quarantineAllows decides whether a call may be sent to a target now. It ends the previous
+// trial of the call, if there is one.
 func (f *Forwarder) quarantineAllows(x *exchange) (quarantiner.Verdict, bool) {
 	if f.quarantine == nil {
 		return quarantiner.Verdict{}, true
 	}
 
-	x.finishProbe()
+	x.finishTrial()
 
 	v, ok, end := f.quarantine.Admit(x.request.Context(), x.digest, x.deadline)
-	x.endProbe = end
+	x.endTrial = end
 
 	return v, ok
 }
 
-// finishProbe ends the current probe call. It does nothing if there is none.
-func (x *exchange) finishProbe() {
-	if x.endProbe != nil {
-		x.endProbe()
-		x.endProbe = nil
+// finishTrial ends the current trial of the call. It does nothing if there is none.
+func (x *exchange) finishTrial() {
+	if x.endTrial != nil {
+		x.endTrial()
+		x.endTrial = nil
 	}
 }
 
@@ -130,8 +129,8 @@
 	return o
 }
 
-// witnesses returns the addresses of targets that are reachable if the given target's data centre
-// is. They distinguish a crash of the target from a network partition.
+// witnesses returns the addresses of targets to connect to in order to distinguish a crash of the
+// given target from a network partition: if the data centre of the target is reachable, so are they.
 func (f *Forwarder) witnesses(t *discoverer.Target) []netip.AddrPort {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/forwarder/quarantine_test.go
+++ b/internal/forwarder/quarantine_test.go
@@ -23,8 +23,8 @@
 	served   int
 	crashed  []discoverer.Name
 	received []digester.Digest
-	// probes is the number of sendings that were permitted and are not over.
-	probes int
+	// trials is the number of calls of Admit whose returned function was not called yet.
+	trials int
 }
 
 func newQuarantine(crashes int) *fakeQuarantine {
@@ -40,13 +40,13 @@
 
 	x.received = append(x.received, d)
 	v := x.q.Check(time.Now(), d)
-	x.probes++
+	x.trials++
 
 	return v, v.Status != quarantiner.Quarantined, func() {
 		x.mu.Lock()
 		defer x.mu.Unlock()
 
-		x.probes--
+		x.trials--
 	}
 }
 
@@ -111,7 +111,7 @@
 			}
 
 			is.Equal(reached(), 3)
-			is.Equal(q.probes, 0)
+			is.Equal(q.trials, 0)
 			is.Equal(a.status, http.StatusServiceUnavailable)
 
 			w, err := strconv.ParseFloat(a.header.Get("Retry-After"), 64)
@@ -130,7 +130,8 @@
 		fault   string
 		crashed bool
 		crashes int
-		// served is set if the target survived the call.
+		// served is the number of calls that are recorded as served, one if the target survived the
+		// call.
 		served int
 	}{
 		"answered":                     {fault: "ok", served: 1},
@@ -173,10 +174,10 @@
 	}
 }
 
-// Guards against a network partition that resets open connections and refuses new ones. From the data
-// centre that is cut off all other targets seem to have crashed, and the calls in flight there
-// would be quarantined.
-func TestNetworkCutIsNotCrash(t *testing.T) {
+// Guards against taking a network partition, which resets open connections and refuses new ones, for
+// crashes. Seen from the data centre that is cut off, all other targets seem to have crashed, and the
+// calls in flight at them would be quarantined.
+func TestPartitionIsNotCrash(t *testing.T) {
 	is := is.New(t)
 	y, z := &target{}, &target{answer: answerOK}
 	y.answer = func(n net.Conn, _ received) {
--- a/internal/forwarder/refusal.go
+++ b/internal/forwarder/refusal.go
@@ -23,8 +23,8 @@
 	// rejectWait is the Retry-After when another instance should serve the call. The load balancer
 	// selects one at once.
 	rejectWait = 50 * time.Millisecond
-	// noTargetWait is the Retry-After when no target could run the call. It is about the time in
-	// which a full target has a free slot again.
+	// noTargetWait is the Retry-After when no target could run the call. It is about the time until
+	// a full target has a free slot again.
 	noTargetWait = 250 * time.Millisecond
 	// overloadWait is the Retry-After when the queues at the targets are longer than callers wait.
 	// Such a queue is processed in about a second if no more calls arrive.
@@ -62,12 +62,12 @@
 	TargetsBackingOff Reason = "targetsResting"
 )
 
-// Refusal is the gateway's own answer to a call that it does not forward or gives up on. With the
-// status 503 the call was not run and never will be.
+// Refusal is the gateway's own answer to a call that it does not forward, or stops trying to. A refusal
+// with the status 503 means that the call was not run and never will be.
 type Refusal struct {
 	Status int
 	Reason Reason
-	// Wait is when the caller should retry; zero means that a retry would not help.
+	// Wait is the time after which the caller should retry; zero means that a retry would not help.
 	Wait    time.Duration
 	Message string
 }
@@ -78,7 +78,7 @@
 }
 
 // refuse returns a refusal. The wait is spread evenly from three to five quarters of its value:
-// callers that are refused together and come back together would be refused together again.
+// callers that retry at the same moment would all be refused again.
 func refuse(status int, r Reason, wait time.Duration, format string, a ...any) *Refusal {
 	if wait > 0 {
 		wait = wait*3/4 + rand.N(wait/2) //nolint:gosec,mnd // Jitter needs no secure source.
@@ -87,9 +87,9 @@
 	return &Refusal{Status: status, Reason: r, Wait: wait, Message: fmt.Sprintf(format, a...)}
 }
 
-// afterSpread returns the wait for which no refused caller comes back before d has passed, after
-// the spread that refuse adds.
-func afterSpread(d time.Duration) time.Duration {
+// withJitterMargin returns the wait to pass to refuse so that, with its jitter, no caller retries
+// before d has passed.
+func withJitterMargin(d time.Duration) time.Duration {
 	return d * 4 / 3 //nolint:mnd // The lower end of the spread is three quarters.
 }
 
--- a/internal/forwarder/reply.go
+++ b/internal/forwarder/reply.go
@@ -9,10 +9,10 @@
 	"github.com/auburntray/auburntray/internal/selector"
 )
 
-// handleReply processes what a target reports about itself in the headers of an answer, whatever
-// becomes of the call.
+// handleReply processes what a target reports about itself in the headers of an answer,
+// regardless of the outcome of the call.
 func (f *Forwarder) handleReply(x *exchange, t *discoverer.Target, p Reply) {
-	// The reply comes from another target, which now has the address.
+	// The reply comes from another process, which now has the target's address.
 	if p.Misdirected {
 		return
 	}
@@ -35,8 +35,8 @@
 	}
 }
 
-// accepts reports whether a target still accepts calls. While its home node was asked for a slot,
-// the target may have announced its shutdown or requested a backoff, or its data centre may have
+// accepts reports whether a target still accepts calls. While a slot was requested from the target's
+// home node, the target may have announced its shutdown or requested a backoff, or its data centre may have
 // been evacuated.
 func (f *Forwarder) accepts(t *discoverer.Target) bool {
 	if !f.state.Registry().AcceptsCalls(t) {
@@ -64,7 +64,7 @@
 
 // handleLeaving records that a target announced its shutdown, and notifies other instances.
 //
-// They would otherwise learn it from the list of targets, which lags and may be unavailable for
+// The other instances would otherwise learn it from the list of targets, which lags and may be unavailable for
 // longer than the target keeps running.
 func (f *Forwarder) handleLeaving(t *discoverer.Target) {
 	if x := f.state.Registry().Processes[t.Key()]; x != nil && x.Leaving {
--- a/internal/forwarder/reply_test.go
+++ b/internal/forwarder/reply_test.go
@@ -13,8 +13,8 @@
 	"github.com/auburntray/auburntray/internal/discoverer"
 )
 
-// answering returns an answer function with the given status, body and headers.
-func answering(status, body string, headers ...string) func(n net.Conn, s received) {
+// answerWith returns an answer function with the given status, body and headers.
+func answerWith(status, body string, headers ...string) func(n net.Conn, s received) {
 	return func(n net.Conn, s received) {
 		reply(n, s, status, body, append(headers, "Seal: "+s.target)...)
 	}
@@ -32,14 +32,14 @@
 		// target's own.
 		accepts bool
 	}{
-		"served":                        {answer: answering("200 OK", "x", leaving), path: "/once/"},
-		"served on a pooled connection": {answer: answering("200 OK", "x", leaving), path: "/idempotent/"},
-		"failed":                        {answer: answering("500 Internal Server Error", "x", leaving), path: "/once/"},
-		"failed and retried":            {answer: answering("500 Internal Server Error", "x", leaving), path: "/idempotent/"},
-		"refused, not run":              {answer: answering("503 Service Unavailable", "", leaving, "Not-Run: 1"), path: "/once/"},
-		"refused, may have run":         {answer: answering("503 Service Unavailable", "", leaving), path: "/once/"},
-		"deadline exceeded":             {answer: answering("504 Gateway Timeout", "", leaving), path: "/once/"},
-		"failed stream":                 {answer: answering("500 Internal Server Error", "", leaving), path: "/stream/"},
+		"served":                        {answer: answerWith("200 OK", "x", leaving), path: "/once/"},
+		"served on a pooled connection": {answer: answerWith("200 OK", "x", leaving), path: "/idempotent/"},
+		"failed":                        {answer: answerWith("500 Internal Server Error", "x", leaving), path: "/once/"},
+		"failed and retried":            {answer: answerWith("500 Internal Server Error", "x", leaving), path: "/idempotent/"},
+		"refused, not run":              {answer: answerWith("503 Service Unavailable", "", leaving, "Not-Run: 1"), path: "/once/"},
+		"refused, may have run":         {answer: answerWith("503 Service Unavailable", "", leaving), path: "/once/"},
+		"deadline exceeded":             {answer: answerWith("504 Gateway Timeout", "", leaving), path: "/once/"},
+		"failed stream":                 {answer: answerWith("500 Internal Server Error", "", leaving), path: "/stream/"},
 		"answer to another call": {answer: func(n net.Conn, _ received) {
 			_, _ = n.Write([]byte("HTTP/1.1 200 OK\r\nId: other\r\nLeaving: 1\r\nContent-Length: 0\r\n\r\n"))
 		}, path: "/idempotent/"},
@@ -47,7 +47,7 @@
 			_, _ = n.Write([]byte("HTTP/1.1 200 OK\r\nId: call-1\r\nSeal: 1\r\nLeaving: 1\r\nContent-Length: 9\r\n\r\n12"))
 			reset(n)
 		}, path: "/idempotent/"},
-		"misdirected":     {answer: answering("421 Misdirected Request", "", leaving, "Not-Run: 1"), path: "/once/", accepts: true},
+		"misdirected":     {answer: answerWith("421 Misdirected Request", "", leaving, "Not-Run: 1"), path: "/once/", accepts: true},
 		"no announcement": {answer: answerOK, path: "/once/", accepts: true},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -125,7 +125,7 @@
 // shutting down, and against a second attempt at a target that has just announced its shutdown.
 func TestAllTargetsLeaving(t *testing.T) {
 	i := is.New(t)
-	w := answering("503 Service Unavailable", "", "Leaving: 1", "Not-Run: 1")
+	w := answerWith("503 Service Unavailable", "", "Leaving: 1", "Not-Run: 1")
 	a, b := &target{answer: w}, &target{answer: w}
 	g := newGateway(t, a, b)
 
@@ -167,7 +167,7 @@
 	// refusal returns the answer with a status, a backoff and further headers.
 	refusal := func(status string, headers ...string) func(backoff time.Duration) func(n net.Conn, s received) {
 		return func(d time.Duration) func(n net.Conn, s received) {
-			return answering(status, "", slices.Clip(append(headers, "Rest-Ms: "+strconv.FormatInt(d.Milliseconds(), 10)))...)
+			return answerWith(status, "", slices.Clip(append(headers, "Rest-Ms: "+strconv.FormatInt(d.Milliseconds(), 10)))...)
 		}
 	}
 
@@ -183,7 +183,7 @@
 		"may have run":         {answer: refusal("503 Service Unavailable"), path: "/once/"},
 		"stream, may have run": {answer: refusal("503 Service Unavailable"), path: "/stream/"},
 		"refused without a backoff": {answer: func(time.Duration) func(n net.Conn, s received) {
-			return answering("503 Service Unavailable", "", "Not-Run: 1")
+			return answerWith("503 Service Unavailable", "", "Not-Run: 1")
 		}, path: "/once/", accepts: true},
 		"misdirected": {answer: refusal("421 Misdirected Request", "Not-Run: 1"), path: "/once/", accepts: true},
 	} {
@@ -237,20 +237,20 @@
 	g.call(t, http.MethodGet, path, "")
 
 	// The backoff begins after the call arrived at t0 and before the caller got the answer.
-	last := time.Now().Add(backoff)
+	latestEnd := time.Now().Add(backoff)
 
 	i.Equal(a.count(), 1)
 
-	first := a.arrivals()[0].Add(backoff)
+	earliestEnd := a.arrivals()[0].Add(backoff)
 	l := g.excluded()
 
 	served := 0
 
-	for time.Now().Before(first) {
+	for time.Now().Before(earliestEnd) {
 		i.Equal(l, []string{"t0"})
 
 		o := g.call(t, http.MethodGet, "/no-objective/", "")
-		if !time.Now().Before(first) {
+		if !time.Now().Before(earliestEnd) {
 			break
 		}
 
@@ -265,7 +265,7 @@
 	// After the backoff calls are sent to t0 again, as it is nearer. The last call of the loop may
 	// have been such a call.
 	if a.count() == 1 {
-		time.Sleep(time.Until(last) + 10*time.Millisecond)
+		time.Sleep(time.Until(latestEnd) + 10*time.Millisecond)
 		g.call(t, http.MethodGet, "/no-objective/", "")
 	}
 
@@ -280,7 +280,7 @@
 // address, sent it.
 func TestMisdirectedReplyDoesNotReportLoad(t *testing.T) {
 	i := is.New(t)
-	g := newGateway(t, &target{answer: answering("421 Misdirected Request", "", "Not-Run: 1", "Running: 50")}, &target{answer: answerOK})
+	g := newGateway(t, &target{answer: answerWith("421 Misdirected Request", "", "Not-Run: 1", "Running: 50")}, &target{answer: answerOK})
 	g.call(t, http.MethodGet, "/once/", "")
 
 	for _, v := range g.forwarder.TargetStates() {
@@ -288,12 +288,12 @@
 	}
 }
 
-// Guards against a Retry-After until the end of a backoff when another target may serve the call
-// earlier.
+// Guards against a Retry-After that lasts until the end of one target's backoff although another
+// target may serve the call earlier.
 func TestOneTargetBacksOff(t *testing.T) {
 	i := is.New(t)
-	a := &target{answer: answering("503 Service Unavailable", "", "Rest-Ms: 5000", "Not-Run: 1")}
-	b := &target{answer: answering("503 Service Unavailable", "", "Not-Run: 1")}
+	a := &target{answer: answerWith("503 Service Unavailable", "", "Rest-Ms: 5000", "Not-Run: 1")}
+	b := &target{answer: answerWith("503 Service Unavailable", "", "Not-Run: 1")}
 	g := newGateway(t, a, b)
 
 	for range 3 {
@@ -313,8 +313,8 @@
 // have requested a backoff, and against a Retry-After before the first backoff ends.
 func TestAllTargetsBackOff(t *testing.T) {
 	i := is.New(t)
-	a := &target{answer: answering("503 Service Unavailable", "", "Rest-Ms: 2000", "Not-Run: 1")}
-	b := &target{answer: answering("503 Service Unavailable", "", "Rest-Ms: 1000", "Not-Run: 1")}
+	a := &target{answer: answerWith("503 Service Unavailable", "", "Rest-Ms: 2000", "Not-Run: 1")}
+	b := &target{answer: answerWith("503 Service Unavailable", "", "Rest-Ms: 1000", "Not-Run: 1")}
 	g := newGateway(t, a, b)
 
 	end := time.Now().Add(time.Second)
@@ -328,9 +328,9 @@
 		w, err := strconv.ParseFloat(o.header.Get("Retry-After"), 64)
 		i.NoErr(err)
 
-		back := n.Add(time.Duration(w * float64(time.Second)))
-		i.True(back.After(end.Add(-50 * time.Millisecond)))
-		i.True(back.Before(end.Add(time.Second)))
+		retryAt := n.Add(time.Duration(w * float64(time.Second)))
+		i.True(retryAt.After(end.Add(-50 * time.Millisecond)))
+		i.True(retryAt.Before(end.Add(time.Second)))
 	}
 
 	i.Equal(a.count(), 1)
--- a/internal/forwarder/reservation.go
+++ b/internal/forwarder/reservation.go
@@ -12,7 +12,8 @@
 )
 
 // maxCountDrift is by how many calls the load that a target reports may exceed its home node's
-// count before the home node is notified. About that many calls come and go while a call begins.
+// count before this is reported to the home node. The count changes by
+// about that many while a call begins.
 const maxCountDrift = 2
 
 // SlotReserver reserves slots for calls at targets. The home node of a target, the one instance
@@ -20,7 +21,7 @@
 type SlotReserver interface {
 	// Reserve requests a slot for one call and returns the function that releases it.
 	Reserve(c context.Context, t *discoverer.Target, q aggregator.Request) (aggregator.Verdict, reserver.Release)
-	// Report reports the load that a target stated to the target's home node.
+	// Report informs the home node of a target of the number of calls that the target reported.
 	Report(t *discoverer.Target, calls int)
 }
 
@@ -46,7 +47,7 @@
 	}
 }
 
-// resultOf returns the result that reports an outcome to the home node of a target.
+// resultOf returns the result that is reported to the home node of a target for an outcome.
 func resultOf(o selector.Outcome) aggregator.Result {
 	switch o {
 	case selector.Answered, selector.Shed:
@@ -99,8 +100,8 @@
 	}
 }
 
-// pick selects a target by local state and counts the call there. Declined is how many targets
-// turned out to be full so far.
+// pick selects a target by local state and counts the call there. The parameter declined is the number
+// of targets so far whose home nodes reported them as full.
 func (f *Forwarder) pick(x *exchange, declined int) (selector.Choice, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -168,8 +169,8 @@
 	}
 }
 
-// reportLoad records the load that a target reported, and informs the home node if it counts too
-// few calls.
+// reportLoad records the load that a target reported, and reports it to the target's home node if
+// that counts too few calls.
 func (f *Forwarder) reportLoad(x *exchange, t *discoverer.Target, p Reply) {
 	f.mu.Lock()
 	f.selector.ReportLoad(time.Now(), t, selector.LoadReport{Running: p.Running, Waiting: p.Waiting, Slots: p.Slots})
--- a/internal/forwarder/reservation_test.go
+++ b/internal/forwarder/reservation_test.go
@@ -26,8 +26,8 @@
 	// open counts the reservations that are not released, and releasedAgain those released more
 	// than once.
 	open, releasedAgain int
-	// signs are the outcomes that the calls reported.
-	signs   []aggregator.Result
+	// results are the results with which slots were released.
+	results []aggregator.Result
 	reports map[string]int
 }
 
@@ -58,7 +58,7 @@
 		h.mu.Lock()
 		defer h.mu.Unlock()
 
-		h.signs = append(h.signs, s)
+		h.results = append(h.results, s)
 
 		if released {
 			h.releasedAgain++
@@ -78,8 +78,8 @@
 
 // Guards against calls to a target that seems idle and healthy to this instance, but whose home
 // node knows that it is full or fails. The call must go to the next target with a free slot and
-// never reach the first. If none has one or no home node answers, it goes to the target selected
-// first. Each reservation is released once, however the call ends.
+// never reach the first. If no target has a free slot, or no home node answers, the call goes to the
+// target selected first. Each reservation is released once, however the call ends.
 func TestSlotReservation(t *testing.T) {
 	granted := aggregator.Verdict{Outcome: aggregator.Granted, Calls: 1}
 	full := aggregator.Verdict{Outcome: aggregator.Full, Calls: 8}
@@ -89,7 +89,7 @@
 		verdicts  map[string]aggregator.Verdict
 		answer    func(n net.Conn, s received)
 		requested []string
-		signs     []aggregator.Result
+		results   []aggregator.Result
 		// calls are the numbers of calls that reached the targets.
 		calls  []int
 		status int
@@ -112,7 +112,7 @@
 
 			i.Equal(g.call(t, http.MethodGet, "/idempotent/", "").status, tc.status)
 			i.Equal(h.requested, tc.requested)
-			i.Equal(h.signs, tc.signs)
+			i.Equal(h.results, tc.results)
 			i.Equal([]int{a.count(), b.count()}, tc.calls)
 			i.Equal(h.open, 0)
 			i.Equal(h.releasedAgain, 0)
@@ -156,8 +156,8 @@
 }
 
 // Guards against a new home node that counts one call where the target runs eight, and would grant
-// slots without limit. It must receive the load that the target reports, unless that is close to
-// its count.
+// slots without limit. The home node must receive the load that the target reports, unless the load
+// is close to the home node's count.
 func TestLoadIsReportedToHome(t *testing.T) {
 	for name, tc := range map[string]struct {
 		running string
--- a/internal/forwarder/sharding_test.go
+++ b/internal/forwarder/sharding_test.go
@@ -17,6 +17,7 @@
 // other, each customer must be limited to its shard of the targets.
 func TestCrashesStartShuffleSharding(t *testing.T) {
 	for name, x := range map[string]struct {
+		// every is the time between two crashes, and used the number of targets that receive calls.
 		every time.Duration
 		used  int
 	}{
--- a/internal/forwarder/stream.go
+++ b/internal/forwarder/stream.go
@@ -13,8 +13,8 @@
 	"github.com/auburntray/auburntray/internal/splitter"
 )
 
-// pauseFactor is the multiple of the rule's longest acceptable pause that a resumable stream waits
-// for its next event.
+// pauseFactor is the multiple of the rule's MaxEventGap that a resumable stream waits for its next
+// event before it is resumed at another target.
 const pauseFactor = 4
 
 // streamAttempt makes an attempt whose answer is relayed event by event.
@@ -31,7 +31,7 @@
 		return r
 	}
 
-	defer a.Body.Close() //nolint:errcheck // Read to its end or abandoned.
+	defer a.Body.Close() //nolint:errcheck // The body was read to its end or is abandoned.
 
 	if a.StatusCode >= http.StatusMultipleChoices || !p.Sealed {
 		return f.readFailure(a)
@@ -111,7 +111,7 @@
 }
 
 // eventTimeout returns how long to wait for the next event before the stream is resumed at another
-// target; zero means no time-out, as it can't be resumed.
+// target; zero means no time-out, as the stream can't be resumed.
 func (f *Forwarder) eventTimeout(x *exchange) time.Duration {
 	if !x.rule.Resumable || x.sent+1 >= x.rule.Attempts {
 		return 0
@@ -120,7 +120,7 @@
 	return pauseFactor * x.rule.MaxEventGap
 }
 
-// isNextEvent reports whether an event may follow another. A target that resumes a stream may start
+// isNextEvent reports whether the event with an ID may follow the event with the ID last. A target that resumes a stream may start
 // too early or too late; relaying that would duplicate or lose a part of the answer.
 func isNextEvent(last, id string) bool {
 	a, err := strconv.ParseUint(last, 10, 64)
--- a/internal/forwarder/stream_test.go
+++ b/internal/forwarder/stream_test.go
@@ -11,9 +11,9 @@
 	"github.com/matryer/is"
 )
 
-// from returns an answer function that sends the events after the last one the caller has, up to
-// the given number.
-func from(last int) func(n net.Conn, s received) {
+// answerEvents returns an answer function that sends the events after the last one that the caller has
+// received, up to the given number.
+func answerEvents(last int) func(n net.Conn, s received) {
 	return func(n net.Conn, s received) {
 		b := 0
 		if v := s.header.Get("Last"); v != "" {
@@ -58,8 +58,8 @@
 		complete bool
 		calls    int
 	}{
-		"complete":                     {path: "/stream/", first: from(3), body: events(1, 3), complete: true, calls: 1},
-		"caller resumes":               {path: "/resumable/", first: from(5), headers: []string{"Last", "3"}, body: events(4, 5), complete: true, calls: 1},
+		"complete":                     {path: "/stream/", first: answerEvents(3), body: events(1, 3), complete: true, calls: 1},
+		"caller resumes":               {path: "/resumable/", first: answerEvents(5), headers: []string{"Last", "3"}, body: events(4, 5), complete: true, calls: 1},
 		"reset within an event":        {path: "/resumable/", first: broken(reset), body: events(1, 5), complete: true, calls: 2},
 		"closed within an event":       {path: "/resumable/", first: broken(func(n net.Conn) { _ = n.Close() }), body: events(1, 5), complete: true, calls: 2},
 		"stops sending":                {path: "/resumable/", first: broken(func(net.Conn) { time.Sleep(700 * time.Millisecond) }), body: events(1, 5), complete: true, calls: 2},
@@ -73,7 +73,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			a, b := &target{answer: x.first}, &target{answer: from(5)}
+			a, b := &target{answer: x.first}, &target{answer: answerEvents(5)}
 			g := newGateway(t, a, b)
 
 			o := g.call(t, http.MethodPost, x.path, "prompt", x.headers...)
--- a/internal/messenger/connection.go
+++ b/internal/messenger/connection.go
@@ -18,6 +18,7 @@
 	conn    net.Conn
 	traffic *Traffic
 
+	// writing is held while a frame is written; mu guards the fields below it.
 	writing sync.Mutex
 	mu      sync.Mutex
 	next    uint32
@@ -33,13 +34,13 @@
 	reply   chan wire.Frame
 }
 
-// maxMissed is the number of consecutive calls that time out after which the connection is
-// closed and replaced.
+// maxMissed is the number of consecutive time-outs of calls at which the connection is closed
+// and replaced.
 //
 // A connection may become silent permanently, without a reset, while new ones work. Only the
 // time-outs of its calls reveal this, since the system retransmits for a quarter of an hour
 // before it reports an error. A single late reply or a short stall of the peer is not enough
-// evidence. After a longer stall, the peer accepts the new connection as well.
+// evidence. A peer that was stalled for longer accepts a new connection once it continues.
 const maxMissed = 2
 
 func newConnection(c net.Conn, t *Traffic) *connection {
@@ -189,7 +190,8 @@
 }
 
 // activityReader reads from a connection and resets its count of missed calls whenever bytes
-// arrive: a long reply delays those behind it, which is no sign of a silent connection.
+// arrive: while a long reply arrives, the calls whose replies are behind it may time out although
+// the connection is not silent.
 type activityReader struct {
 	connection *connection
 }
--- a/internal/messenger/frame.go
+++ b/internal/messenger/frame.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// MaxFrame is the largest frame in bytes, several times the size of a configuration
-	// document at the design size.
+	// MaxFrame is the largest frame in bytes. It is several times the size of the configuration
+	// document of the largest fleet that the system is designed for.
 	MaxFrame = 16 << 20
 	// readChunkBytes is the number of bytes of a frame that are read at a time.
 	readChunkBytes = 16 << 10
--- a/internal/messenger/long_reply_test.go
+++ b/internal/messenger/long_reply_test.go
@@ -16,7 +16,7 @@
 	"github.com/auburntray/auburntray/internal/wire"
 )
 
-// slowDialer makes connections that receive 16 KiB each 50 ms.
+// slowDialer makes connections that receive 16 KiB every 50 ms.
 type slowDialer struct{ net.Dialer }
 
 func (d *slowDialer) DialContext(c context.Context, network, address string) (net.Conn, error) {
@@ -35,7 +35,8 @@
 }
 
 // Guards against a call that times out while its long reply arrives: over a narrow-bandwidth link, the reply takes more
-// than three seconds, and each call has one second. A busy machine has ample time for the first bytes.
+// than three seconds, while the time-out of the call is one second. That is ample for the first bytes of the reply to
+// arrive on a busy machine.
 func TestDeadlineIsExtendedWhileReplyArrives(t *testing.T) {
 	const initial = time.Second
 
--- a/internal/messenger/messenger.go
+++ b/internal/messenger/messenger.go
@@ -65,7 +65,7 @@
 
 // New listens on an address and returns a Messenger and its clean-up function, Close. The
 // Messenger introduces itself to peers with the given ID and connects to them with the
-// dialer, by TLS unless the configuration is nil. Incoming messages are handled once Serve
+// dialer, over TLS unless the TLS configuration is nil. Incoming messages are handled once Serve
 // is called. New fails with ErrUnreachable if it can't listen on the address.
 func New(a netip.AddrPort, id uint64, d dialer, s *tls.Config) (*Messenger, func(), error) {
 	l, err := net.Listen("tcp", a.String()) //nolint:noctx // Ended by the clean-up function.
@@ -175,7 +175,7 @@
 	return x.write(k, 0, q)
 }
 
-// dial returns the connection to a peer, and makes one if there is none that is usable.
+// dial returns the connection to a peer. It makes a new one if there is no usable one.
 func (m *Messenger) dial(c context.Context, a netip.AddrPort) (*connection, error) {
 	m.mu.Lock()
 
--- a/internal/messenger/messenger_test.go
+++ b/internal/messenger/messenger_test.go
@@ -59,7 +59,7 @@
 	for n := range uint32(100) {
 		i.NoErr(a.Call(t.Context(), b.Address(), wire.KindSlotRequest, &wire.SlotRequest{Cell: n}, &v))
 		i.Equal(v.Target, n)
-		i.Equal(v.RetryAfterMs, uint32(1)) // The ID of the sender, which the handler put there.
+		i.Equal(v.RetryAfterMs, uint32(1)) // The handler returns the ID of the sender in this field.
 	}
 
 	err := a.Call(t.Context(), b.Address(), wire.KindState, &wire.StateRequest{}, &v)
@@ -126,9 +126,9 @@
 	}
 }
 
-// A dial times out, and calls within redialDelay fail immediately. Their errors must also be time-outs: callers
-// that know that this process was stalled during the dial ignore time-outs, but would suspect a healthy peer after
-// another error.
+// Guards against suspecting a healthy peer after a stall of this process. A dial times out during the stall, and calls
+// within redialDelay after it fail immediately. Their errors must be time-outs too: callers that know of the stall
+// ignore time-outs, but no other errors.
 func TestCallsAfterFailedDialReturnItsCause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		i := is.New(t)
@@ -164,8 +164,8 @@
 	return nil, c.Err()
 }
 
-// Any process that reaches the port can send arbitrary bytes. A frame that announces gigabytes must not cause their
-// allocation, and an invalid frame must close only its own connection.
+// Guards against arbitrary bytes, which any process that reaches the port can send. A frame that announces gigabytes
+// must not cause their allocation, and an invalid frame must close only its own connection.
 func TestInvalidFramesCloseTheirConnection(t *testing.T) {
 	for name, b := range map[string][]byte{
 		"frame above the limit": {0xff, 0xff, 0xff, 0xff, 0x0f},
@@ -293,12 +293,13 @@
 type silentFirstDialer struct {
 	net.Dialer
 
-	made int
+	// dials counts the connections made.
+	dials int
 }
 
 func (d *silentFirstDialer) DialContext(c context.Context, network, address string) (net.Conn, error) {
-	d.made++
-	if d.made > 1 {
+	d.dials++
+	if d.dials > 1 {
 		return d.Dialer.DialContext(c, network, address)
 	}
 
@@ -334,7 +335,7 @@
 	i.NoErr(err)
 	t.Cleanup(stop)
 
-	ask := func(within time.Duration) error {
+	call := func(within time.Duration) error {
 		c, stop := context.WithTimeout(t.Context(), within)
 		defer stop()
 
@@ -342,13 +343,13 @@
 	}
 
 	for range 2 {
-		i.True(errors.Is(ask(10*time.Millisecond), messenger.ErrTimeout))
+		i.True(errors.Is(call(10*time.Millisecond), messenger.ErrTimeout))
 	}
 
-	i.NoErr(ask(10 * time.Second))
-	i.Equal(d.made, 2)
+	i.NoErr(call(10 * time.Second))
+	i.Equal(d.dials, 2)
 
-	// A call that its caller cancels is no evidence against the connection.
+	// A call that is cancelled by its caller does not count as a time-out of the connection.
 	for range 3 {
 		c, leave := context.WithCancel(t.Context())
 		time.AfterFunc(5*time.Millisecond, leave)
@@ -357,6 +358,6 @@
 	}
 
 	close(answer)
-	i.NoErr(ask(10 * time.Second))
-	i.Equal(d.made, 2)
+	i.NoErr(call(10 * time.Second))
+	i.Equal(d.dials, 2)
 }
--- a/internal/messenger/serve.go
+++ b/internal/messenger/serve.go
@@ -52,8 +52,8 @@
 			continue
 		}
 
-		// These kinds wait for the log. Handling them in order would delay the requests
-		// for slots behind them on the same connection.
+		// The handlers of these kinds wait for reads or writes of a log. Handling them in order
+		// would delay the requests for slots behind them on the same connection.
 		if f.Kind == wire.KindClaim || f.Kind == wire.KindSettle || f.Kind == wire.KindStream {
 			go m.handle(x, c, &w, from, h, f)
 
--- a/internal/messenger/traffic.go
+++ b/internal/messenger/traffic.go
@@ -9,7 +9,7 @@
 // Traffic counts the bytes of messages in both directions. It is safe for concurrent use.
 type Traffic struct {
 	sent, received atomic.Int64
-	// kinds counts the bytes sent by kind of message.
+	// kinds counts the bytes sent, for each kind of message.
 	kinds [wire.Kinds]atomic.Int64
 }
 
--- a/internal/quarantiner/quarantiner.go
+++ b/internal/quarantiner/quarantiner.go
@@ -2,8 +2,8 @@
 //
 // A single call can crash every target that begins to run it, and is retried through other instances
 // under other IDs. When a target crashes, any of the calls in flight there may be the cause: of 32
-// calls, 31 are innocent. A call that was in flight at the crashes of several targets, and was served
-// by none since, is the cause with near certainty, and is quarantined.
+// calls in flight, 31 are innocent. A call that was in flight at the crashes of several targets, and
+// was not served since, is almost certainly the cause, and is quarantined.
 //
 // The state is a set of crashes, each of one process while one call was in flight there, some of which
 // are cleared because the call was served since. Merging states is a set union, so instances may
@@ -28,7 +28,7 @@
 	MinSeparation time.Duration
 	// TrialDelays are the times from the last crash to the next trial of a quarantined call, indexed
 	// by the number of its failed trials. After the last one there are no more trials: each trial of
-	// a call that does crash targets costs a target, and three of them are acceptable.
+	// a call that does crash targets costs a target, and the loss of three targets is acceptable.
 	TrialDelays []time.Duration
 	// Retention is how long a call is remembered after it was last seen.
 	Retention time.Duration
@@ -42,14 +42,15 @@
 		// An innocent call is occasionally in flight at two crashes, when its retry reaches the same
 		// target as a retry of the cause. Each further crash costs a target with all its calls.
 		CrashThreshold: 3,
-		// The calls at a target that lost power fail with its connections, or at the next write.
+		// When targets lose power together, their crashes are detected within this time: the calls
+		// there fail as the connections break, or at the next write.
 		MinSeparation: time.Second,
 		// A target restarts within seconds; a model or service is repaired within minutes at best,
 		// and mostly within one to two hours.
 		TrialDelays: []time.Duration{time.Minute, 10 * time.Minute, 100 * time.Minute},
 		// Longer than any time after which a refused caller should retry.
 		Retention: 4 * time.Hour,
-		// All calls in flight at a third of 600 targets with 20 calls each.
+		// Enough for all calls in flight at a third of 600 targets with 20 calls each.
 		MaxCalls: 4096,
 	}
 }
@@ -154,17 +155,17 @@
 	return quarantined, changed
 }
 
-// Records returns the calls with two or more counted crashes, at most the given number, those with
-// the most crashes first. A single crash nearly always belongs to an innocent call; it is included
-// once there is a second one.
-func (q *Quarantiner) Records(most int) []Record {
+// Records returns at most limit records of calls with two or more counted crashes, those with the
+// most crashes first. A call with a single crash is omitted until a second one is counted, since it
+// is nearly always innocent.
+func (q *Quarantiner) Records(limit int) []Record {
 	o := slices.DeleteFunc(q.sorted(), func(r Record) bool { return !q.replicated(&r) })
 	slices.Reverse(o)
 
-	return o[:min(len(o), most)]
+	return o[:min(len(o), limit)]
 }
 
-// replicated reports whether a call is included in Records, which are sent to other instances.
+// replicated reports whether Records includes a call. Those records are sent to other instances.
 func (q *Quarantiner) replicated(r *Record) bool {
 	return q.verdict(r).Crashes > 1
 }
@@ -233,19 +234,19 @@
 }
 
 // verdict evaluates a call by the crashes that count: those that are not cleared and, if the call was
-// served before one of them, are separated by the required time.
+// served before one of them, are separated by MinSeparation.
 func (q *Quarantiner) verdict(r *Record) Verdict {
 	var (
-		v     Verdict
-		apart time.Duration
+		v          Verdict
+		separation time.Duration
 	)
 
 	if slices.ContainsFunc(r.Crashes, func(e Crash) bool { return e.ServedBefore }) {
-		apart = q.settings.MinSeparation
+		separation = q.settings.MinSeparation
 	}
 
 	for _, e := range r.Crashes {
-		if e.Cleared || v.Crashes > 0 && e.At.Sub(v.LastCrash) < apart {
+		if e.Cleared || v.Crashes > 0 && e.At.Sub(v.LastCrash) < separation {
 			continue
 		}
 
--- a/internal/quarantiner/quarantiner_test.go
+++ b/internal/quarantiner/quarantiner_test.go
@@ -27,7 +27,7 @@
 // it. Calls that were in flight there by chance are served elsewhere, or see no second crash. Calls
 // with the same digest (one page, requested by one customer) are in flight at every crash, and are
 // served in between.
-func TestWhichCallsAreHeldBack(t *testing.T) {
+func TestWhichCallsAreQuarantined(t *testing.T) {
 	for name, x := range map[string]struct {
 		steps   []step
 		want    quarantiner.Status
@@ -83,8 +83,8 @@
 	return o
 }
 
-// Guards against instances that disagree after exchanging the crashes that each observed, late,
-// twice and in any order.
+// Guards against instances that reach different verdicts after they exchanged the crashes that each
+// observed, late, twice and in any order.
 func TestInstancesAgreeAfterMerge(t *testing.T) {
 	for name, x := range map[string]struct {
 		here, there []step
@@ -153,7 +153,8 @@
 	is.True(!changed)
 }
 
-// Guards against records that never expire, because instances about to drop them pass them on.
+// Guards against records that never expire because instances send them to each other just before they
+// drop them.
 func TestRecordsExpire(t *testing.T) {
 	is := is.New(t)
 	s := quarantiner.DefaultSettings()
@@ -175,8 +176,8 @@
 	is.Equal(q.Check(late, call).Status, quarantiner.Quarantined)
 }
 
-// Guards against memory that grows with a client that sends a new call that crashes targets each
-// time. The records are limited, and quarantined calls remain among them.
+// Guards against memory use without bound when a client keeps sending new calls that crash targets.
+// The number of records is limited, and the records of quarantined calls are not evicted.
 func TestNumberOfRecordsIsLimited(t *testing.T) {
 	is := is.New(t)
 	s := quarantiner.DefaultSettings()
@@ -195,11 +196,11 @@
 	is.True(n+quarantined <= s.MaxCalls)
 	is.Equal(quarantined, 1)
 	is.Equal(q.Check(start().Add(time.Hour), call).Status, quarantiner.Quarantined)
-	is.Equal(q.Records(1)[0].Call, call) // It is sent first.
+	is.Equal(q.Records(1)[0].Call, call) // Its record is sent first.
 }
 
 // Guards against calls that are refused forever after a model was repaired or a target's memory
-// enlarged; a call that still crashes targets may cost three more at most.
+// enlarged. A call that still crashes targets may crash three more of them at most.
 func TestTrialSchedule(t *testing.T) {
 	for name, x := range map[string]struct {
 		crashes  int
@@ -232,7 +233,7 @@
 }
 
 // Guards against one crash per instance when a call arrives at many instances at once after its
-// first crash. All reserve the trial at the call's home, the one instance responsible for it, which
+// first crash. All request the trial from the call's home, the one instance responsible for it, which
 // permits one at a time.
 func TestOneTrialAtATime(t *testing.T) {
 	suspected := quarantiner.Verdict{Status: quarantiner.Suspected, Crashes: 1}
@@ -240,6 +241,8 @@
 	due := quarantiner.Verdict{Status: quarantiner.Quarantined, Crashes: 3, TrialDue: true}
 
 	for name, x := range map[string]struct {
+		// first and then are the verdicts on a call at two requests for a trial, over is set if
+		// the end of the first trial was reported, and after is the time between the requests.
 		first quarantiner.Verdict
 		over  bool
 		after time.Duration
--- a/internal/quarantiner/replay_test.go
+++ b/internal/quarantiner/replay_test.go
@@ -15,7 +15,7 @@
 	"github.com/auburntray/auburntray/internal/sharder"
 )
 
-// load is the load of a service, some of customerRand calls crash targets.
+// load is the load of a service, some of whose calls crash targets.
 type load struct {
 	targets int
 	// rate is the number of calls per second, and duration their mean run time.
@@ -24,8 +24,9 @@
 	// similarFraction is the fraction of calls that share one of similarCount digests.
 	similarFraction float64
 	similarCount    int
-	fatalCalls      int
-	interval        time.Duration
+	// fatalCalls is the number of calls that crash targets. Each is sent once per interval.
+	fatalCalls int
+	interval   time.Duration
 	// alwaysNew gives each call that crashes targets a new digest.
 	alwaysNew bool
 	// meanLifetime is the mean time until a target crashes by itself; zero means never.
@@ -59,7 +60,7 @@
 	return e.Registry().Known[t.ID]
 }
 
-// running is a call at a target.
+// running is a call that runs at a target until the given time.
 type running struct {
 	digest digester.Digest
 	until  time.Time
@@ -72,7 +73,7 @@
 
 // replay simulates a load in steps of a millisecond, with the given number of crashes until a call is
 // quarantined. All instances share one Quarantiner, as they notify each other within milliseconds. A
-// call customerRand target crashes is sent to another one, and its caller retries when that fails too.
+// call whose target crashes is sent to another one, and its caller retries when that fails too.
 func replay(l load, threshold int, lasts time.Duration) counts {
 	s := quarantiner.DefaultSettings()
 	s.CrashThreshold = threshold
@@ -81,7 +82,8 @@
 		o counts
 		r = rand.New(rand.NewPCG(1, 2))
 		q = quarantiner.New(s)
-		// at holds the calls of each target, availableAt when it is available, and process its name.
+		// at holds the calls at each target, availableAt the time from which the target is available, and
+		// process the name of its process.
 		at           = make([][]running, l.targets)
 		availableAt  = make([]time.Time, l.targets)
 		process      = make([]discoverer.Name, l.targets)
@@ -111,7 +113,7 @@
 			q.RecordCrash(now, x.digest, process[i])
 		}
 
-		// Each crash is of another process.
+		// After each crash the target has another process.
 		crashed := *listed[i]
 		crashed.Start = now
 		c.RecordCrash(now, newTarget(crashed))
@@ -241,10 +243,11 @@
 }
 
 const (
-	// minInnocentPerQuarantined is the least number of innocent calls for each quarantined one.
+	// minInnocentPerQuarantined is the number of innocent calls of which fewer than one may be
+	// quarantined on average.
 	minInnocentPerQuarantined = 10_000
-	// maxSendingsPerFatalCall is how often a call that crashes targets may be sent: three times
-	// until it is quarantined, and twice that were in progress by then.
+	// maxSendingsPerFatalCall is how often each call that crashes targets may be sent: three
+	// times until it is quarantined, and two more times that were in progress at that moment.
 	maxSendingsPerFatalCall = 5
 )
 
@@ -263,7 +266,7 @@
 // Guards against innocent calls that are quarantined beside one that crashes targets, or where targets
 // crash for other reasons; some innocent calls share a digest. With a threshold of two crashes instead
 // of three, 12 and 13 of 13,400 innocent calls were quarantined while engines crashed by themselves.
-func TestReplayOfEndsUnderLoad(t *testing.T) {
+func TestReplayOfCrashesUnderLoad(t *testing.T) {
 	for name, x := range map[string]load{
 		"engines, one fatal call":                           withCrashes(smallEngines(), 1, 0),
 		"engines that crash by themselves":                  withCrashes(smallEngines(), 0, 20*time.Second),
@@ -285,10 +288,11 @@
 }
 
 // Guards against a service that is unavailable to everyone because one of many customers sends a new
-// call that crashes targets every 250 ms. Each costs up to four targets with the retries of its caller,
-// and no record helps against the next one.
-func TestReplayOfEverNewCallsThatEndTargets(t *testing.T) {
-	// minServedFraction is the least fraction of the other calls that must be served, as on a calm day.
+// call that crashes targets every 250 ms. Each such call, with the retries of its caller, crashes up to
+// four targets, and its quarantine record does not match the next one.
+func TestReplayOfAlwaysNewFatalCalls(t *testing.T) {
+	// minServedFraction is the least fraction of the other calls that must be served, the same as on
+	// a day without incidents.
 	const minServedFraction = 0.95
 
 	l := withCrashes(smallEngines(), 1, 0)
--- a/internal/quarantiner/served.go
+++ b/internal/quarantiner/served.go
@@ -3,7 +3,7 @@
 import "github.com/auburntray/auburntray/internal/digester"
 
 // servedPerGeneration is the number of served calls per generation. With two generations the last 4,096
-// to 8,192 calls are remembered: those of some minutes at ten calls per second.
+// to 8,192 calls are remembered: at ten calls per second, those of the last 7 to 14 minutes.
 const servedPerGeneration = 4096
 
 // served is the set of the most recently served calls. The zero value is empty.
--- a/internal/quarantiner/trials.go
+++ b/internal/quarantiner/trials.go
@@ -6,19 +6,19 @@
 	"github.com/auburntray/auburntray/internal/digester"
 )
 
-// trialTimeout is how long a trial is considered running if its end is not reported: its instance may
-// be gone. A call that crashes targets does so within a second.
+// trialTimeout is how long a trial is considered running if its end is not reported: the instance that
+// sent the call may be gone. A call that crashes targets does so within a second.
 const trialTimeout = 5 * time.Second
 
-// Trials permits one attempt at a time of each suspected call in the whole fleet: sent through many
-// instances at once, before any of them has notified the others, it would crash a target for each.
-// Trials are kept at the call's home, the one instance responsible for it. The zero value is empty.
+// Trials permits one attempt at a time of each suspected call in the whole fleet. Otherwise a call that
+// arrives at many instances at once would crash a target for each of them, before any has notified the
+// others. Trials are kept at the call's home (home node), the one instance responsible for the call. The zero value is empty.
 // Trials is not safe for concurrent use.
 type Trials struct {
 	running map[digester.Digest]time.Time
 }
 
-// Begin reports whether a call may be sent now, and if so records the trial of a suspected call.
+// Begin reports whether a call may be sent now, and if so records a trial unless the call is free.
 func (t *Trials) Begin(now time.Time, v Verdict, d digester.Digest) bool {
 	switch {
 	case v.Status == Free:
--- a/internal/quarantiner/verdict.go
+++ b/internal/quarantiner/verdict.go
@@ -37,7 +37,7 @@
 	Status Status
 	// Crashes is the number of crashes that count against the call.
 	Crashes int
-	// LastCrash is the time of the last of them.
+	// LastCrash is the time of the last of these crashes.
 	LastCrash time.Time
 	// TrialDue reports whether a quarantined call is due for a trial.
 	TrialDue bool
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -176,7 +176,7 @@
 func newPipeline(s resolver.Router, t trace.Tracer, d *drainer.Drainer, f *follower.Follower, a *requester.Requester,
 	g *registrar.Registrar, x *sender.Sender, n *counter.Counter, p *stallMonitor, q *replicator.Replicator,
 ) *filterer.Pipeline {
-	i := filterer.Isolate{Quarantine: q, Targets: x}
+	i := filterer.RefuseQuarantined{Quarantine: q, Targets: x}
 
 	return filterer.New(d, g, n, t,
 		filterer.Accept{MaxBody: int64(s.MaxBody)},
--- a/internal/sender/call.go
+++ b/internal/sender/call.go
@@ -67,7 +67,7 @@
 	if r.StatusCode != http.StatusOK {
 		_ = r.Body.Close()
 
-		return nil, errors.Mark(errors.Newf("resuming the stream: status %d", r.StatusCode), ErrBroken)
+		return nil, errors.Mark(errors.Newf("resuming: status %d", r.StatusCode), ErrBroken)
 	}
 
 	return r, nil
--- a/internal/sender/event.go
+++ b/internal/sender/event.go
@@ -23,10 +23,10 @@
 	Raw []byte
 	// ID is the ID of the answer, empty when the event has none.
 	ID string
-	// Content reports that the event carries a part of the answer, which is in Text.
+	// Content reports whether the event contains a part of the answer; Text is that part.
 	Content bool
 	Text    string
-	// Done reports that the answer is complete.
+	// Done reports whether the answer is complete.
 	Done bool
 	// PromptTokens and CachedTokens are the token counts of the usage event, zero in other events.
 	PromptTokens, CachedTokens int
@@ -74,7 +74,7 @@
 
 		o.Raw = append(o.Raw, l...)
 		if len(o.Raw) > maxEventBytes {
-			return o, errors.Mark(errors.Newf("an event is longer than %d bytes", maxEventBytes), ErrBroken)
+			return o, errors.Mark(errors.New("an event is too long"), ErrBroken)
 		}
 
 		l = bytes.TrimRight(l, "\r\n")
--- a/internal/sender/header.go
+++ b/internal/sender/header.go
@@ -23,7 +23,7 @@
 	return false
 }
 
-// copyHeader copies the fields of h that are forwarded to o. Fields that the Connection field names are not
+// copyHeader copies to o the fields of h that may be forwarded. Fields listed in the Connection field are not
 // forwarded either.
 func copyHeader(o, h http.Header) {
 	n := make(map[string]bool)
@@ -41,8 +41,8 @@
 	}
 }
 
-// CopyAnswerHeader copies the header fields of a target's answer that are forwarded to the
-// caller from h to o. The fields in which targets report their state to the router are omitted.
+// CopyAnswerHeader copies to o the fields of h, the header of a target's answer, that may be
+// forwarded to the caller. The fields in which targets report their state to the router are omitted.
 func CopyAnswerHeader(o, h http.Header) {
 	copyHeader(o, h)
 }
--- a/internal/sender/health.go
+++ b/internal/sender/health.go
@@ -18,8 +18,8 @@
 const healthPath = "/health"
 
 // Probe requests the health status of a target. It fails with ErrNeverSent or
-// ErrBroken. A status other than 200 is an ErrBroken too, unless the target reports
-// that it is leaving.
+// ErrBroken; it fails with ErrBroken for a status other than 200 too, unless the target
+// reports that it is leaving.
 func (s *Sender) Probe(c context.Context, a netip.AddrPort) (supervisor.Health, error) {
 	u := s.targetURL(a, healthPath)
 
--- a/internal/sender/sender.go
+++ b/internal/sender/sender.go
@@ -24,7 +24,7 @@
 	maxIdleConnsPerTarget = 64
 )
 
-// dialer makes connections, as a net.Dialer.
+// dialer makes connections; net.Dialer implements it.
 type dialer interface {
 	DialContext(c context.Context, network, address string) (net.Conn, error)
 }
@@ -79,7 +79,7 @@
 	}
 	// http.Transport retries a request by itself when a reused connection breaks.
 	// For a call that may not be repeated this would be a second execution, so such
-	// calls use a new connection each, on which it does not retry.
+	// calls use a new connection each, on which http.Transport does not retry.
 	s.fresh = &http.Transport{
 		DialContext: f, TLSClientConfig: c, DisableKeepAlives: true, DisableCompression: true,
 	}
