--- a/internal/requester/reserve.go
+++ b/internal/requester/reserve.go
@@ -40,7 +40,7 @@
 
 // Reservation is the verdict on a Request: a slot at a target if Reason is granter.Granted, and
 // otherwise the reason why there is none. It contains what is needed to release the slot.
-// If Reason is granter.Elsewhere, Target is the cell to send the request to.
+// If Reason is granter.OtherCell, Target is the cell to send the request to.
 type Reservation struct {
 	Reason     granter.Reason
 	Target     uint32
