--- a/internal/admitter/admitter_test.go
+++ b/internal/admitter/admitter_test.go
@@ -172,7 +172,7 @@
 	without, with := total(simulate(l, false)), total(simulate(l, true))
 
 	i.True(ratio(without.inTime, without.calls) < 0.5) // 206 of 431.
-	i.True(ratio(with.inTime, with.calls) > 0.68)      // 302 of 429; the engine can begin 0.8 of them.
+	i.True(ratio(with.inTime, with.calls) > 0.68)      // 302 of 429; the engine has capacity for 0.8 of the calls.
 	i.True(ratio(with.disconnected, with.calls) < 0.1)
 }
 
--- a/internal/advertiser/advertiser_test.go
+++ b/internal/advertiser/advertiser_test.go
@@ -124,10 +124,10 @@
 	return err
 }
 
-func build(n int) *fleet { return buildIn(n, "dc") }
+func newFleet(n int) *fleet { return newFleetInCentres(n, "dc") }
 
-// buildIn assigns the instances to data centres round-robin.
-func buildIn(n int, centres ...string) *fleet {
+// newFleetInCentres assigns the instances to data centres round-robin.
+func newFleetInCentres(n int, centres ...string) *fleet {
 	logrus.SetLevel(logrus.FatalLevel)
 
 	f := &fleet{crashed: map[int]bool{}, unresponsive: map[int]bool{}}
@@ -148,7 +148,7 @@
 func TestUpdateReachesAllOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := build(3)
+		f := newFleet(3)
 		f.states[0].pending = selector.Update{
 			Placements: []selector.Placement{{Key: 7, Target: 9}},
 			Loads:      []selector.TargetLoad{{Target: 9, Calls: 5, At: time.Now().Add(-time.Second)}},
@@ -182,7 +182,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				f := build(100)
+				f := newFleet(100)
 
 				f.instances[3].NotifyGone(p)
 				synctest.Wait()
@@ -215,7 +215,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			f := build(1)
+			f := newFleet(1)
 
 			_, err := f.instances[0].HandleGone(t.Context(), 2, b)
 			is.True(errors.Is(err, advertiser.ErrUpdate))
@@ -250,7 +250,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				f := buildIn(x.instances, x.centres...)
+				f := newFleetInCentres(x.instances, x.centres...)
 				f.states[0].pending = selector.Update{Placements: []selector.Placement{{Key: 7, Target: 9}}}
 
 				c, stop := context.WithTimeout(t.Context(), 10*time.Second)
@@ -284,7 +284,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				f := buildIn(20, "a", "b")
+				f := newFleetInCentres(20, "a", "b")
 				f.states[0].repeat = true
 				f.states[0].pending.Placements = []selector.Placement{{Key: 7, Target: 9}}
 
@@ -314,7 +314,7 @@
 // Guards against forwarding an update that cannot be decoded.
 func TestInvalidRelayedUpdate(t *testing.T) {
 	is := is.New(t)
-	f := buildIn(8, "a", "b")
+	f := newFleetInCentres(8, "a", "b")
 
 	_, err := f.instances[0].HandleRelay(t.Context(), 2, []byte{0xc1})
 	is.True(errors.Is(err, advertiser.ErrUpdate))
@@ -326,7 +326,7 @@
 func TestIntervalGrowsWithFleet(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := build(100)
+		f := newFleet(100)
 
 		c, stop := context.WithTimeout(t.Context(), 10*time.Second)
 		defer stop()
@@ -342,7 +342,7 @@
 
 func TestInvalidUpdate(t *testing.T) {
 	is := is.New(t)
-	f := build(1)
+	f := newFleet(1)
 
 	_, err := f.instances[0].HandleUpdate(t.Context(), 2, []byte{0xc1})
 	is.True(errors.Is(err, advertiser.ErrUpdate))
--- a/internal/aggregator/aggregator.go
+++ b/internal/aggregator/aggregator.go
@@ -174,8 +174,8 @@
 }
 
 // expire ends the reservations of calls past their deadline. An instance that was killed or partitioned
-// never sends its releases; otherwise its calls would count for ever, until no call was granted a slot
-// at an idle target.
+// never sends its releases. Without expire its calls would count for ever, and in the end an idle target
+// would count as full and be granted no calls.
 func (x *count) expire(now time.Time) {
 	for id, h := range x.reservations {
 		if now.After(h.deadline) {
--- a/internal/bencher/home_policy.go
+++ b/internal/bencher/home_policy.go
@@ -170,7 +170,7 @@
 		return wire.FlagReportDue
 	}
 
-	return wire.FlagReturned
+	return wire.FlagAtPlacement
 }
 
 func (h *homePolicy) done(w *world, q *request) {
--- a/internal/bencher/traffic.go
+++ b/internal/bencher/traffic.go
@@ -95,7 +95,7 @@
 	return t
 }
 
-// surgeCustomers returns the three customers of the most used model that surge.
+// surgeCustomers returns the three customers whose calls surge; all use the most used model.
 func (t *traffic) surgeCustomers() []*customer {
 	m := t.size.Models
 
--- a/internal/commander/serve.go
+++ b/internal/commander/serve.go
@@ -29,7 +29,7 @@
 	go func() {
 		a, err := build()
 		if err == nil {
-			err = run(a)
+			err = startApp(a)
 		}
 
 		started <- start{a, err}
@@ -59,8 +59,8 @@
 	return s.app.Stop(c)
 }
 
-// run starts an application within its start time-out.
-func run(a *fx.App) error {
+// startApp starts an application within its start time-out.
+func startApp(a *fx.App) error {
 	c, stop := context.WithTimeout(context.Background(), a.StartTimeout())
 	defer stop()
 
--- a/internal/extender/extender.go
+++ b/internal/extender/extender.go
@@ -78,8 +78,9 @@
 	return context.WithValue(x, key{}, e), stop
 }
 
-// Extend records an arrival for a context and its parents. It does nothing to contexts that New did not
-// make. It is safe for concurrent use if the callbacks in the settings are.
+// Extend reports that data has arrived: it moves the deadlines of a context and of its parents to Idle from now,
+// if that is later, but not past Max, and calls OnExtend. It does nothing to contexts that New did not make.
+// It is safe for concurrent use if the callbacks in the settings are.
 func Extend(c context.Context) {
 	e, _ := c.Value(key{}).(*extender)
 	for ; e != nil; e = e.parent {
--- a/internal/filterer/pick.go
+++ b/internal/filterer/pick.go
@@ -111,7 +111,7 @@
 	x.Reservation = r
 	x.Target = x.Config.Matcher.Target(r.Target)
 
-	if r.Returned {
+	if r.AtPlacement {
 		p.Counter.Add(counter.ReturnedToPlacement, 1)
 	}
 
--- a/internal/follower/checkpoint.go
+++ b/internal/follower/checkpoint.go
@@ -25,7 +25,7 @@
 	f.mu.Lock()
 	s, n := *f.reducer.State(), f.reducer.Next()
 	d := s.Revision > 0 && f.reducer.Complete() &&
-		(f.uncheckpointed >= maxUncheckpointed || time.Since(f.lastCheckpoint) > f.interval)
+		(f.uncheckpointed >= maxUncheckpointed || time.Since(f.lastCheckpoint) > f.checkpointInterval)
 	f.mu.Unlock()
 
 	if !d || !f.writesCheckpoints() {
--- a/internal/follower/follower.go
+++ b/internal/follower/follower.go
@@ -29,8 +29,8 @@
 	messenger messenger
 	current   atomic.Pointer[Config]
 	onChange  func(*Config)
-	// interval is the longest time between two checkpoints.
-	interval time.Duration
+	// checkpointInterval is the longest time between two checkpoints.
+	checkpointInterval time.Duration
 	// writesCheckpoints reports whether this router writes the checkpoints.
 	writesCheckpoints func() bool
 
@@ -48,7 +48,7 @@
 // true, it appends at least one checkpoint in each interval, which must be much
 // shorter than the log's retention.
 func New(l log, m messenger, onChange func(*Config), writesCheckpoints func() bool, interval time.Duration) *Follower {
-	f := &Follower{log: l, messenger: m, onChange: onChange, writesCheckpoints: writesCheckpoints, interval: interval, reducer: reducer.New()}
+	f := &Follower{log: l, messenger: m, onChange: onChange, writesCheckpoints: writesCheckpoints, checkpointInterval: interval, reducer: reducer.New()}
 	s := *f.reducer.State()
 	f.current.Store(&Config{State: &s, Matcher: matcher.New(&s.Document)})
 
--- a/internal/follower/log.go
+++ b/internal/follower/log.go
@@ -51,7 +51,7 @@
 	x, stop := context.WithTimeout(c, readTimeout)
 	defer stop()
 
-	b, err := f.log.Read(x, Stream, n, min(maxPollWait, f.interval))
+	b, err := f.log.Read(x, Stream, n, min(maxPollWait, f.checkpointInterval))
 	if err != nil {
 		return err
 	}
--- a/internal/forwarder/attempt.go
+++ b/internal/forwarder/attempt.go
@@ -218,7 +218,8 @@
 }
 
 // reportHealth logs changes of the targets' health status, with the given log fields of the call that
-// revealed the changes. It notifies other instances of processes that this instance itself found gone.
+// revealed the changes, and notifies other instances of processes that this instance itself found
+// gone.
 func (f *Forwarder) reportHealth(l []selector.HealthChange, fields logrus.Fields) {
 	for _, b := range l {
 		e := "backInUse"
@@ -262,8 +263,8 @@
 	p := f.dialect.ReadReply(a.Header, a.StatusCode)
 	f.handleReply(x, t.Target, p)
 
-	// A delayed answer to an earlier call may arrive in place of the answer to this one. Its ID
-	// differs; relaying it would give the caller another caller's answer.
+	// A delayed answer to an earlier call may arrive in place of the answer to this one. The
+	// ID of a delayed answer differs; relaying it would give the caller another caller's answer.
 	if p.ID != x.call.ID && !p.NotRun {
 		_ = a.Body.Close()
 
--- a/internal/forwarder/client.go
+++ b/internal/forwarder/client.go
@@ -92,7 +92,7 @@
 		Method: x.request.Method, URL: u, Host: x.request.Host, Header: h,
 		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
 		// http.Transport resends a request by itself if the request has no body or its GetBody is
-		// set. It never resends a request whose body can be read only once.
+		// set. http.Transport never resends a request whose body can be read only once.
 		Body: io.NopCloser(bytes.NewReader(x.body)), ContentLength: int64(len(x.body)),
 	}
 	q = q.WithContext(httptrace.WithClientTrace(c, &httptrace.ClientTrace{
--- a/internal/forwarder/exchange.go
+++ b/internal/forwarder/exchange.go
@@ -34,7 +34,7 @@
 	// another ID.
 	digest digester.Digest
 	// endTrial ends the trial in progress: the one attempt permitted at a time for a call that is
-	// suspected of crashing targets. It is nil while there is none.
+	// suspected of crashing targets. It is nil while no trial is in progress.
 	endTrial func()
 
 	// sharedPrefixes are the prompt prefixes that other calls share, longest first.
@@ -61,8 +61,9 @@
 	reply Reply
 	// attemptStart is when the current attempt began.
 	attemptStart time.Time
-	// ticket is the call's admission to a lane: that of the calls expected to begin within their
-	// latency objective or, if late is set, that of the calls expected to begin later.
+	// ticket is the call's admission to a lane: the lane of the calls whose answer is expected to
+	// begin within their latency objective or, if late is set, the lane of the calls expected to
+	// begin later.
 	ticket *admitter.Ticket
 	late   bool
 	// mayHaveRun is set when a target may have run the call.
@@ -71,9 +72,8 @@
 	relayed bool
 	// lastEvent is the ID of the last event that the caller has received.
 	lastEvent string
-	// firstPart is the time from the start of the call to the first part of the answer, longestGap
-	// the longest time between two parts, and lastRelay the time at which the latest part was
-	// relayed.
+	// firstPart is the time from the start of the call to the first part of the answer; longestGap
+	// is the longest time between two parts; lastRelay is when the latest part was relayed.
 	firstPart, longestGap time.Duration
 	lastRelay             time.Time
 }
--- a/internal/forwarder/forwarder_test.go
+++ b/internal/forwarder/forwarder_test.go
@@ -345,8 +345,8 @@
 }
 
 // Guards against callers that keep using an instance whose data centre is cut off. The instance
-// must report that it is cut off, close its callers' connections with the answers, and detect the
-// end of the partition by itself, since no more calls arrive.
+// must report that it is cut off, answer with "Connection: close", and detect the end of the
+// partition by itself, since no more calls arrive.
 func TestCutOffInstanceClosesConnections(t *testing.T) {
 	is := is.New(t)
 	d := &muteDialer{}
--- a/internal/forwarder/intake.go
+++ b/internal/forwarder/intake.go
@@ -15,8 +15,9 @@
 	// syncWaitFraction is the fraction of its time-out that a call waits for the first catalog and
 	// list of targets. The rest is enough for the caller to retry at another instance.
 	syncWaitFraction = 0.25
-	// maxSyncWait bounds that wait. When many instances start at once and read a long catalog, the
-	// platform takes most of a second to send it; if it takes longer, there is an outage.
+	// maxSyncWait bounds the wait for the catalog and targets. When many instances start at once
+	// and read a long catalog, the platform takes most of a second to send it; if it takes longer,
+	// there is an outage.
 	maxSyncWait = time.Second
 )
 
--- a/internal/forwarder/pool.go
+++ b/internal/forwarder/pool.go
@@ -35,8 +35,9 @@
 }
 
 // transport returns the transport with the pooled connections to a target's process. A call whose
-// target was selected just before its process was pruned creates the transport again. Its
-// connections are closed after idleTimeout, as are those to an earlier address of a process.
+// target was selected just before its process was pruned creates the transport again. The
+// connections of that transport are closed after idleTimeout, as are those to an earlier address of
+// a process.
 func (k *connPool) transport(t *discoverer.Target) *http.Transport {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/forwarder/quarantine.go
+++ b/internal/forwarder/quarantine.go
@@ -74,8 +74,8 @@
 }
 
 // detectCrash determines from the result of an attempt whether the target's process crashed while
-// running the call, and records that or that the target survived the call. It reports whether the
-// process crashed.
+// running the call, and records either the crash or that the target survived the call. It reports
+// whether the process crashed.
 func (f *Forwarder) detectCrash(c context.Context, x *exchange, t *discoverer.Target, r result) bool {
 	switch {
 	case f.quarantine == nil || r.notRun:
--- a/internal/forwarder/refusal.go
+++ b/internal/forwarder/refusal.go
@@ -14,8 +14,8 @@
 var errCallerLeft = errors.New("caller disconnected")
 
 const (
-	// startWait is the Retry-After of an instance that has just started. It reads its catalog
-	// within a few hundred milliseconds.
+	// startWait is the Retry-After of an instance that has just started. A starting instance reads
+	// its catalog within a few hundred milliseconds.
 	startWait = 300 * time.Millisecond
 	// staleWait is the Retry-After of an instance whose catalog may be out of date. By then it has
 	// queried the platform and other instances again.
@@ -33,7 +33,7 @@
 	// evacuated. Operators take seconds at best to end an evacuation.
 	evacuatedWait = time.Second
 	// leavingWait is the Retry-After while all targets that could serve the call are shutting down.
-	// It is not known when others replace them.
+	// It is not known when other targets replace them.
 	leavingWait = time.Second
 )
 
--- a/internal/forwarder/reject_test.go
+++ b/internal/forwarder/reject_test.go
@@ -11,9 +11,9 @@
 	"github.com/auburntray/auburntray/internal/standin/collector"
 )
 
-// Guards against rejected calls that no log mentions: a stopping instance rejected each call
-// without a line, so it could not be found by its ID. Each has a line up to the rate limit; the
-// metric counts all.
+// Guards against rejected calls that no log mentions: a stopping instance rejected calls
+// without logging them, so that a call could not be found by its ID. Each rejected call is logged,
+// up to the rate limit; the metric counts all.
 func TestRejectedCallsAreLogged(t *testing.T) {
 	for name, x := range map[string]struct {
 		stopping bool
--- a/internal/forwarder/reservation.go
+++ b/internal/forwarder/reservation.go
@@ -67,7 +67,7 @@
 // node. It returns false if there is no target or none with a free slot.
 //
 // The local state of a target may be a second old. If its home node reports that the target is full
-// or excluded, that is recorded and another target is selected.
+// or excluded, choose records this and another target is selected.
 func (f *Forwarder) choose(c context.Context, x *exchange) (selector.Choice, bool) {
 	s := searcher.Searcher{Prompt: len(x.sharedPrefixes) > 0}
 
--- a/internal/forwarder/sharding_test.go
+++ b/internal/forwarder/sharding_test.go
@@ -17,12 +17,13 @@
 // other, each customer must be limited to its shard of the targets.
 func TestCrashesStartShuffleSharding(t *testing.T) {
 	for name, x := range map[string]struct {
-		// every is the time between two crashes, and used the number of targets that receive calls.
-		every time.Duration
-		used  int
+		// crashInterval is the time between two crashes; usedTargets is the number of targets that
+		// receive calls.
+		crashInterval time.Duration
+		usedTargets   int
 	}{
-		"crashes one after the other": {every: 600 * time.Millisecond, used: 3},
-		"crashes at the same time":    {used: 9},
+		"crashes one after the other": {crashInterval: 600 * time.Millisecond, usedTargets: 3},
+		"crashes at the same time":    {usedTargets: 9},
 	} {
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
@@ -38,7 +39,7 @@
 			var crashes []quarantiner.Crash
 
 			for n, k := range g.state.Registry().Groups["g"] {
-				crashes = append(crashes, quarantiner.Crash{Process: k.Key().Name(), At: now.Add(time.Duration(n-9) * x.every)})
+				crashes = append(crashes, quarantiner.Crash{Process: k.Key().Name(), At: now.Add(time.Duration(n-9) * x.crashInterval)})
 			}
 
 			g.forwarder.RecordCrashes(append(crashes, quarantiner.Crash{Process: 1, At: now}))
@@ -56,7 +57,7 @@
 				}
 			}
 
-			i.Equal(used, x.used)
+			i.Equal(used, x.usedTargets)
 		})
 	}
 }
--- a/internal/gatekeeper/invalid_record_reporter.go
+++ b/internal/gatekeeper/invalid_record_reporter.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// lineBurst is how many log lines about invalid records may be written at once, and lineInterval
+	// lineBurst is how many log lines about invalid records may be written at once; lineInterval is
 	// the interval between further lines. A writer in a loop produces thousands of records a
 	// second; logging each would fill the disk and delay the lines about calls. The metrics
 	// count every record.
--- a/internal/gatekeeper/options.go
+++ b/internal/gatekeeper/options.go
@@ -121,8 +121,8 @@
 const settledAfter = 3 * time.Second
 
 // shareRetention is how long instances that have disappeared retain their shares of the calls at cold
-// targets, since they may be on the other side of a network partition and use them there. It is longer
-// than most network partitions last.
+// targets, since they may be on the other side of a network partition and use the shares there. It is
+// longer than most network partitions last.
 const shareRetention = time.Hour
 
 func newSelector(s Settings, j *joiner.Joiner) *selector.Selector {
--- a/internal/gatekeeper/seen_records.go
+++ b/internal/gatekeeper/seen_records.go
@@ -88,12 +88,13 @@
 // checkNotStale fails with errStaleList when a list, identified by the offsets of its keys and its
 // end, is older than a state that was already observed.
 //
-// Applying such a list would restore targets that left, whose addresses may belong to other processes
-// by now, and remove targets that joined. Calls to the former would fail, and the latter would get no
-// calls until the next full list. Offsets only increase, so a key with a lower offset than already
-// observed proves an older state, whatever end the list states. A key that is missing from the list
-// but was observed at or after the list's end also proves it. Any other list is accepted: a key that
-// is missing from a list with a newer end was deleted.
+// Applying such a list would restore targets that left, whose addresses may belong to other
+// processes by now, and remove targets that joined. Calls to the restored targets would fail, and
+// the removed targets would get no calls until the next full list. Offsets only increase, so a key
+// with a lower offset than already observed proves an older state, whatever end the list states. A
+// key that is missing from the list but was observed at or after the list's end also proves an
+// older state. Any other list is accepted: a key that is missing from a list with a newer end was
+// deleted.
 func (s *seenRecords) checkNotStale(newest map[string]int64, end int64) error {
 	for k, x := range s.keys {
 		o, ok := newest[k]
--- a/internal/gatekeeper/target_handler.go
+++ b/internal/gatekeeper/target_handler.go
@@ -83,7 +83,7 @@
 }
 
 // usable returns whether an entry names a target although parts of it may be invalid. It counts and
-// logs such parts. The error is that of decoding the entry.
+// logs such parts. err is the error of decoding the entry.
 func (h *targetHandler) usable(r watcher.Record, err error) bool {
 	if err != nil && errors.Is(err, watcher.ErrPartial) {
 		if !h.records.contains(r) {
--- a/internal/gossiper/gossiper.go
+++ b/internal/gossiper/gossiper.go
@@ -201,7 +201,7 @@
 // assigned by Assign, at most number routers in total. The result is empty only if this router is leaving and
 // no other is live.
 func (g *Gossiper) Homes(now time.Time, key uint64, centres []string, number int) []Member {
-	o := g.viewAt(now).homesOf(Key{Key: key, Centres: centres})
+	o := g.viewAt(now).homeAndSuccessors(Key{Key: key, Centres: centres})
 
 	return o[:min(len(o), number)]
 }
--- a/internal/gossiper/gossiper_test.go
+++ b/internal/gossiper/gossiper_test.go
@@ -27,12 +27,12 @@
 // fleet delivers gossip between Gossipers, except to dead ones and across a network
 // partition between the data centre partitioned and the others.
 type fleet struct {
-	members     map[netip.AddrPort]*gossiper.Gossiper
-	order       []gossiper.Member
-	now         time.Time
-	dead        map[uint64]bool
-	partitioned string
-	bytes       int
+	members           map[netip.AddrPort]*gossiper.Gossiper
+	order             []gossiper.Member
+	now               time.Time
+	dead              map[uint64]bool
+	partitionedCentre string
+	bytes             int
 }
 
 func newFleet(n, centres int) *fleet {
@@ -71,7 +71,7 @@
 
 func (f *fleet) deliver(from gossiper.Member, x gossiper.Message) {
 	for _, o := range f.order {
-		if o.Address == x.To && !f.dead[o.ID] && (f.partitioned == "" || (o.DataCentre == f.partitioned) == (from.DataCentre == f.partitioned)) {
+		if o.Address == x.To && !f.dead[o.ID] && (f.partitionedCentre == "" || (o.DataCentre == f.partitionedCentre) == (from.DataCentre == f.partitionedCentre)) {
 			l := f.members[x.To].Receive(f.now, x.Gossip)
 			f.members[from.Address].Receive(f.now, wire.Gossip{Members: l})
 		}
@@ -154,7 +154,7 @@
 	f := newFleet(8, 2)
 	f.tick()
 
-	f.partitioned = "dc-1"
+	f.partitionedCentre = "dc-1"
 
 	for range 60 {
 		f.tick()
@@ -163,7 +163,7 @@
 	i.Equal(f.live(0), 4)
 	i.Equal(f.live(1), 4)
 
-	f.partitioned = ""
+	f.partitionedCentre = ""
 
 	for range 20 {
 		f.tick()
--- a/internal/gossiper/view.go
+++ b/internal/gossiper/view.go
@@ -14,22 +14,23 @@
 type view struct {
 	at   time.Time
 	live []Member
-	// homes are the routers of the keys passed to SetKeys, and of other keys since they
-	// were first requested. They are valid as long as the same routers are live.
-	homes map[uint64][]Member
+	// routers caches, by key, the home and then the routers that would succeed it. Keys passed
+	// to SetKeys are always in it, other keys from their first request on. The entries are
+	// valid as long as the same routers are live.
+	routers map[uint64][]Member
 }
 
 // viewAt returns the view for a time, renewed if it is older than viewTTL or invalidated.
 func (g *Gossiper) viewAt(now time.Time) *view {
 	v := &g.view
-	if v.homes != nil && now.Sub(v.at) < viewTTL && !now.Before(v.at) {
+	if v.routers != nil && now.Sub(v.at) < viewTTL && !now.Before(v.at) {
 		return v
 	}
 
 	l := g.listLive(now)
-	if v.homes == nil || !slices.Equal(l, v.live) {
+	if v.routers == nil || !slices.Equal(l, v.live) {
 		v.live = l
-		v.homes = Assign(l, g.keys)
+		v.routers = Assign(l, g.keys)
 	}
 
 	v.at = now
@@ -42,15 +43,15 @@
 	g.view.at = time.Time{}
 }
 
-// homesOf returns the routers for a key, its home first. The home of a key that was not
+// homeAndSuccessors returns the routers for a key, its home first. The home of a key that was not
 // passed to SetKeys is its highest-ranked router, even if that is home to other keys too.
-func (v *view) homesOf(k Key) []Member {
-	if o, ok := v.homes[k.Key]; ok {
+func (v *view) homeAndSuccessors(k Key) []Member {
+	if o, ok := v.routers[k.Key]; ok {
 		return o
 	}
 
 	o := rank(v.live, k)
-	v.homes[k.Key] = o
+	v.routers[k.Key] = o
 
 	return o
 }
--- a/internal/granter/backoff_test.go
+++ b/internal/granter/backoff_test.go
@@ -71,10 +71,10 @@
 	i := is.New(t)
 	f := newFixture(1)
 	f.StartBackoff(f.now, 1, time.Minute)
-	i.Equal(len(f.Unreported(f.now, f.now.Add(time.Hour))), 0)
+	i.Equal(len(f.TargetsWithoutReport(f.now, f.now.Add(time.Hour))), 0)
 
 	f.now = f.now.Add(time.Minute)
-	i.Equal(len(f.Unreported(f.now, f.now.Add(time.Hour))), 1)
+	i.Equal(len(f.TargetsWithoutReport(f.now, f.now.Add(time.Hour))), 1)
 
 	id, v := f.reserve(1, 1, 1)
 	i.Equal(v.Reason, granter.Granted)
--- a/internal/granter/choose.go
+++ b/internal/granter/choose.go
@@ -100,8 +100,8 @@
 
 	p, ok := g.placements.Get(a.Chat)
 	if !ok {
-		// The hint replaces placements lost with a former home. It has no prefix length, so the
-		// prompt counts as uncached.
+		// The hint replaces placements lost with a former home. A hint has no prefix length, so
+		// the prompt counts as uncached.
 		p = placer.Placement{Target: a.Hint}
 	}
 
--- a/internal/granter/granter.go
+++ b/internal/granter/granter.go
@@ -47,7 +47,7 @@
 	suppressor  *suppressor.Suppressor[uint32]
 	windowStart time.Time
 	otherCells  []cellLoad
-	// changedChats are the chats with a new placement, and scanOffset is the position of the cyclic
+	// changedChats are the chats with a new placement; scanOffset is the position of the cyclic
 	// scan over the table of placements.
 	changedChats []uint64
 	scanOffset   int
@@ -155,7 +155,7 @@
 
 	g.grant(now, a, g.targets[i], w)
 
-	return Verdict{Target: g.targets[i].ID, Returned: i == p, ReportDue: g.targets[i].reportDue(now)}
+	return Verdict{Target: g.targets[i].ID, AtPlacement: i == p, ReportDue: g.targets[i].reportDue(now)}
 }
 
 // reportDue reports whether the entry router is to report the target's load, and records the time if
@@ -287,9 +287,9 @@
 	return len(g.grants)
 }
 
-// Unreported returns the targets without a load report since the given time, except for those in
+// TargetsWithoutReport returns the targets without a load report since the given time, except for those in
 // backoff.
-func (g *Granter) Unreported(now, since time.Time) []uint32 {
+func (g *Granter) TargetsWithoutReport(now, since time.Time) []uint32 {
 	var o []uint32
 
 	for _, t := range g.targets {
--- a/internal/granter/granter_test.go
+++ b/internal/granter/granter_test.go
@@ -120,12 +120,12 @@
 
 	_, w := f.reserve(2, 77, 1)
 	i.Equal(w.Target, v.Target)
-	i.True(w.Returned)
+	i.True(w.AtPlacement)
 
 	g := newFixture(4)
 	x := g.Reserve(g.now, granter.Request{ID: granter.ID{Entry: 1, Seq: 1}, Chat: 77, Hint: v.Target, Prompt: 1000})
 	i.Equal(x.Target, v.Target)
-	i.True(x.Returned)
+	i.True(x.AtPlacement)
 }
 
 // Guards against grants that count for ever and shift load to other targets: a release is lost with its
@@ -272,7 +272,7 @@
 	g.RecordPlacement(g.now, l[0].Chat, l[0].Placement)
 	_, w := g.reserve(1, 77, 1)
 	i.Equal(w.Target, v.Target)
-	i.True(w.Returned)
+	i.True(w.AtPlacement)
 }
 
 // Guards against refusals for customers below their share while another customer surges. The surge gets
--- a/internal/granter/request.go
+++ b/internal/granter/request.go
@@ -30,7 +30,7 @@
 	Allowed func(target uint32) bool
 	// Excluded are the targets already tried for this request.
 	Excluded []uint32
-	// Forwarded reports whether the Granter of another cell forwarded the request here. It is not forwarded
-	// again.
+	// Forwarded reports whether the Granter of another cell forwarded the request here. A forwarded
+	// request is not forwarded again.
 	Forwarded bool
 }
--- a/internal/granter/verdict.go
+++ b/internal/granter/verdict.go
@@ -36,8 +36,8 @@
 	Target uint32
 	// Cell is the cell to request a slot from if the Reason is Elsewhere.
 	Cell uint32
-	// Returned reports whether the target is the one of the chat's placement, which holds its prefix.
-	Returned bool
+	// AtPlacement reports whether the target is the one of the chat's placement, which holds its prefix.
+	AtPlacement bool
 	// ReportDue requests a Report of the target's load once its answer begins.
 	ReportDue bool
 	// RetryAfter is the delay before a retry after a refusal.
--- a/internal/quarantiner/replay_test.go
+++ b/internal/quarantiner/replay_test.go
@@ -71,10 +71,10 @@
 	customer uint64
 }
 
-// replay simulates a load in steps of a millisecond, with the given number of crashes until a call is
+// simulate runs a load in steps of a millisecond, with the given number of crashes until a call is
 // quarantined. All instances share one Quarantiner, as they notify each other within milliseconds. A
 // call whose target crashes is sent to another one, and its caller retries when that fails too.
-func replay(l load, threshold int, lasts time.Duration) counts {
+func simulate(l load, threshold int, lasts time.Duration) counts {
 	s := quarantiner.DefaultSettings()
 	s.CrashThreshold = threshold
 
@@ -256,7 +256,7 @@
 	t.Helper()
 
 	is := is.New(t)
-	o := replay(l, quarantiner.DefaultSettings().CrashThreshold, lasts)
+	o := simulate(l, quarantiner.DefaultSettings().CrashThreshold, lasts)
 	t.Logf("%d innocent calls, %d quarantined; %d targets crashed, %d sendings of calls that crash them", o.innocent, o.quarantined, o.crashes, o.fatalSendings)
 
 	is.True(o.quarantined*minInnocentPerQuarantined < o.innocent)
@@ -298,7 +298,7 @@
 	l := withCrashes(smallEngines(), 1, 0)
 	l.alwaysNew = true
 
-	o := replay(l, quarantiner.DefaultSettings().CrashThreshold, 100*time.Second)
+	o := simulate(l, quarantiner.DefaultSettings().CrashThreshold, 100*time.Second)
 	t.Logf("%d of %d other calls served, %d quarantined; %d targets crashed", o.served, o.innocent, o.quarantined, o.crashes)
 	is.New(t).True(float64(o.served) >= minServedFraction*float64(o.innocent))
 }
--- a/internal/reducer/reducer.go
+++ b/internal/reducer/reducer.go
@@ -134,7 +134,7 @@
 	r.next = offset + 1
 
 	if x.Checkpoint != nil {
-		return r.checkpoint(*x.Checkpoint, max(x.Next, x.Checkpoint.Revision))
+		return r.applyCheckpoint(*x.Checkpoint, max(x.Next, x.Checkpoint.Revision))
 	}
 
 	if x.Change == nil {
@@ -165,11 +165,11 @@
 	return r.restore(s, next)
 }
 
-// checkpoint applies a checkpoint from the log. The reader that wrote it may
+// applyCheckpoint applies a checkpoint from the log. The reader that wrote it may
 // have lagged, so the changes between the checkpoint's next and its own offset
 // are applied to it; when some of these changes were missed, the checkpoint is ignored.
 // A checkpoint that claims to reflect records after its own offset is invalid.
-func (r *Reducer) checkpoint(s State, next uint64) Verdict {
+func (r *Reducer) applyCheckpoint(s State, next uint64) Verdict {
 	if r.complete || next < r.oldest || next > r.next || s.Revision < r.state.Revision {
 		return Ignored
 	}
--- a/internal/registrar/registrar.go
+++ b/internal/registrar/registrar.go
@@ -22,8 +22,8 @@
 )
 
 const (
-	// partitions is the number of claims streams.
-	partitions = 64
+	// partitionCount is the number of claims streams.
+	partitionCount = 64
 	// answerMargin is how long after a call's deadline its answer may still be recorded before
 	// repeats receive the outcome Unknown.
 	answerMargin = 5 * time.Second
@@ -78,7 +78,7 @@
 	peers        peers
 	members      members
 	stallMonitor stallMonitor
-	partitions   [partitions]*partition
+	partitions   [partitionCount]*partition
 }
 
 // New returns a Registrar that has read no records yet. It retains a key for the window after
@@ -122,7 +122,7 @@
 
 // claimAtHome claims a key at its home, or locally if the home fails.
 func (r *Registrar) claimAtHome(c context.Context, q Claim) (Status, error) {
-	h, ok := r.members.Home(q.Key%partitions, nil)
+	h, ok := r.members.Home(q.Key%partitionCount, nil)
 	if !ok || h.ID == r.members.Self().ID {
 		return r.claimLocally(c, q)
 	}
@@ -191,7 +191,7 @@
 }
 
 func (r *Registrar) settleOnce(c context.Context, w wire.Settle) error {
-	h, ok := r.members.Home(w.Key%partitions, nil)
+	h, ok := r.members.Home(w.Key%partitionCount, nil)
 	if ok && h.ID != r.members.Self().ID {
 		x, stop := context.WithTimeout(c, homeTimeout)
 		defer stop()
@@ -207,7 +207,7 @@
 
 // claimLocally appends a claim to the log from this router and returns its status.
 func (r *Registrar) claimLocally(c context.Context, q Claim) (Status, error) {
-	p := r.partitions[q.Key%partitions]
+	p := r.partitions[q.Key%partitionCount]
 
 	// A key whose claim was already read needs no append, so that recorded answers are
 	// replayed even while the log accepts no appends.
@@ -252,7 +252,7 @@
 	}
 
 	// Settling is idempotent, so an uncertain append is repeated by the caller.
-	_, err := r.partitions[w.Key%partitions].append(c, x)
+	_, err := r.partitions[w.Key%partitionCount].append(c, x)
 
 	return err
 }
--- a/internal/relayer/relayer_test.go
+++ b/internal/relayer/relayer_test.go
@@ -10,9 +10,9 @@
 	"github.com/auburntray/auburntray/internal/relayer"
 )
 
-// Guards against an instance that sends a change to all others itself: its link is busy for longer than the
-// change may take. All instances of a data centre wait for a configuration of 100 KB over links of 10
-// Mbit/s.
+// Guards against one instance that sends a change to all others directly: its link would be busy for longer than a
+// change may take to reach all instances. All instances of a data centre wait for a configuration of 100 KB over
+// links of 10 Mbit/s.
 func TestReplayOfAllInstancesWaitingAtOne(t *testing.T) {
 	const (
 		rate  = 1.25e6
--- a/internal/reloader/reloader_test.go
+++ b/internal/reloader/reloader_test.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// Guards against an instance that exits on SIGHUP, which breaks all connections: that is the default of
-// the signal unless the process handles it. Invalid settings must not end the process either.
+// Guards against an instance that exits on SIGHUP, as a process does by default, and so breaks all
+// connections. Invalid settings must not end the process either.
 func TestHangUpReloads(t *testing.T) {
 	p, a := start(t)
 	self, err := os.FindProcess(os.Getpid())
--- a/internal/repeater/repeater_test.go
+++ b/internal/repeater/repeater_test.go
@@ -36,8 +36,8 @@
 	refused map[int]bool
 	silent  map[int]bool
 	reads   map[int]int
-	// listLength is the number of records of a list of all keys; zero sets no bound.
-	listLength int
+	// maxListRecords is the largest number of records that a list of all keys contains; zero means no limit.
+	maxListRecords int
 	// listTimes holds, by instance, how long a list of all keys takes over the instance's link.
 	listTimes map[int]time.Duration
 	links     links
@@ -51,7 +51,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	p.listLength, p.excess = n, excess
+	p.maxListRecords, p.excess = n, excess
 }
 
 // put appends a record.
@@ -109,8 +109,8 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 
-	if v.listLength > 0 {
-		l = l[:v.listLength]
+	if v.maxListRecords > 0 {
+		l = l[:v.maxListRecords]
 	}
 
 	return l, int64(len(l)) + v.excess, nil
--- a/internal/replicator/message.go
+++ b/internal/replicator/message.go
@@ -115,7 +115,7 @@
 // syncWith requests all records of another instance, and sends that instance the records that it lacks.
 // It returns the time until the next exchange and whether the instance answered. Records that were new to
 // this instance are forwarded to the others of its data centre, which are likely to have missed them too.
-func (r *Replicator) syncWith(c context.Context, m gossiper.Member) (next time.Duration, ok bool) {
+func (r *Replicator) syncWith(c context.Context, m gossiper.Member) (nextDelay time.Duration, ok bool) {
 	x, stop := context.WithTimeout(c, syncTimeout)
 	defer stop()
 
@@ -130,13 +130,13 @@
 		return syncInterval, false
 	}
 
-	next = syncInterval
+	nextDelay = syncInterval
 
 	if r.merge(&p) {
 		r.broadcaster.Local(c, broadcastKinds, &p)
 	} else if len(p.Calls) >= maxRecords {
 		// There are more records than a message holds, and this response contained nothing new.
-		next = fullSyncInterval
+		nextDelay = fullSyncInterval
 	}
 
 	a := r.reply(&p)
@@ -148,7 +148,7 @@
 		logrus.WithFields(logrus.Fields{"event": "suspectsUntold", "peer": m.Address, "error": err}).Debug()
 	}
 
-	return next, true
+	return nextDelay, true
 }
 
 // encode converts records to a message, with ages instead of times because the clocks of instances differ.
--- a/internal/replicator/replicator_test.go
+++ b/internal/replicator/replicator_test.go
@@ -145,7 +145,7 @@
 	return f
 }
 
-// crash records crashes of targets under the call at an instance, one each 100 ms.
+// crash records, at the given instance, that targets crashed while they ran the call: one crash every 100 ms.
 func (f *fleet) crash(instance, crashes int) {
 	for i := range crashes {
 		f.instances[instance].RecordCrash(call, discoverer.Name(10*instance+i))
--- a/internal/requester/reserve.go
+++ b/internal/requester/reserve.go
@@ -42,10 +42,10 @@
 // otherwise the reason why there is none. It contains what is needed to release the slot.
 // If Reason is granter.OtherCell, Target is the cell to send the request to.
 type Reservation struct {
-	Reason     granter.Reason
-	Target     uint32
-	Returned   bool
-	RetryAfter time.Duration
+	Reason      granter.Reason
+	Target      uint32
+	AtPlacement bool
+	RetryAfter  time.Duration
 
 	cell *matcher.Cell
 	seq  uint32
@@ -147,7 +147,7 @@
 // record converts a verdict and, if it is a grant, adds it to this router's grants.
 func (r *Requester) record(q Request, w wire.SlotRequest, v wire.SlotReply) Reservation {
 	p := Reservation{
-		Reason: granter.Reason(v.Reason), Target: v.Target, Returned: v.Flags&wire.FlagReturned != 0, reportDue: v.Flags&wire.FlagReportDue != 0,
+		Reason: granter.Reason(v.Reason), Target: v.Target, AtPlacement: v.Flags&wire.FlagAtPlacement != 0, reportDue: v.Flags&wire.FlagReportDue != 0,
 		RetryAfter: time.Duration(v.RetryAfterMs) * time.Millisecond, cell: q.Cell, seq: w.Seq,
 	}
 
--- a/internal/reserver/reserver.go
+++ b/internal/reserver/reserver.go
@@ -115,7 +115,7 @@
 		return
 	}
 
-	o := wire.Occupancy{Target: uint32(t.Key().Name()), Calls: uint32(max(calls, 0))} //nolint:gosec // Small.
+	o := wire.Occupancy{Target: uint32(t.Key().Name()), Calls: uint32(max(calls, 0))} //nolint:gosec // The number of calls fits in 32 bits.
 
 	if h.ID == r.members.Self().ID {
 		r.reportLoad(o)
@@ -146,7 +146,7 @@
 		Deadline: time.Now().Add(time.Duration(q.LifetimeMs) * time.Millisecond), MedianLatency: fraction(q.MedianLatency), AllowExcluded: q.AllowExcluded,
 	})
 
-	return &wire.ReserveReply{Outcome: uint8(v.Outcome), Calls: uint32(v.Calls), Latency: hundredths(v.Latency)}, nil //nolint:gosec // Small.
+	return &wire.ReserveReply{Outcome: uint8(v.Outcome), Calls: uint32(v.Calls), Latency: hundredths(v.Latency)}, nil //nolint:gosec // The number of calls fits in 32 bits.
 }
 
 // HandleVacate handles the release of another instance's reservation.
@@ -215,8 +215,8 @@
 	defer stop()
 
 	w := wire.Reserve{
-		Target: uint32(q.Target), Number: q.ID.Number, MaxCalls: uint32(max(q.MaxCalls, 0)), //nolint:gosec // Small.
-		LifetimeMs: uint32(max(time.Until(q.Deadline), 0).Milliseconds()), MedianLatency: hundredths(q.MedianLatency), AllowExcluded: q.AllowExcluded, //nolint:gosec // Small.
+		Target: uint32(q.Target), Number: q.ID.Number, MaxCalls: uint32(max(q.MaxCalls, 0)), //nolint:gosec // The limit on calls fits in 32 bits.
+		LifetimeMs: uint32(max(time.Until(q.Deadline), 0).Milliseconds()), MedianLatency: hundredths(q.MedianLatency), AllowExcluded: q.AllowExcluded, //nolint:gosec // The lifetime in milliseconds fits in 32 bits.
 	}
 
 	// The call runs in a goroutine, since it may block beyond its time-out while another message waits
--- a/internal/router/components.go
+++ b/internal/router/components.go
@@ -120,7 +120,7 @@
 	return ok && h.ID == j.Self().ID
 }
 
-// aheadHandler returns a function that notifies the follower of a peer with a newer revision.
-func aheadHandler(f *follower.Follower) func(netip.AddrPort, uint64) {
+// newerRevisionHandler returns a function that notifies the follower of a peer with a newer revision.
+func newerRevisionHandler(f *follower.Follower) func(netip.AddrPort, uint64) {
 	return func(a netip.AddrPort, revision uint64) { f.CatchUp(context.Background(), a, revision) }
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -143,7 +143,7 @@
 	g := gossiper.New(gossiper.DefaultSettings(), mathrand.New(mathrand.NewPCG(self.ID, 0)), self) //nolint:gosec // Not used for secrets.
 	o.Joiner = joiner.New(m, r, g, self, s.Seeds, joiner.Hooks{
 		Revision:        func() uint64 { return o.Follower.Revision() },
-		OnNewerRevision: aheadHandler(o.Follower),
+		OnNewerRevision: newerRevisionHandler(o.Follower),
 		OnTargetChange:  o.Supervisor.ObserveInstance,
 	})
 	o.Requester = requester.New(m, o.Joiner, o.Supervisor, n, p, s.SlotTimeout)
--- a/internal/selector/call.go
+++ b/internal/selector/call.go
@@ -27,7 +27,7 @@
 // which sees the calls of all instances. The target is excluded for reportedExclusion.
 func (s *Selector) DeclineUnhealthy(now time.Time, x Choice) {
 	s.revert(now, x)
-	s.health.reportUnhealthy(now, x.Target)
+	s.health.recordUnhealthyReport(now, x.Target)
 }
 
 // Withdraw reverts a choice whose call was not sent because the target no longer accepts calls.
--- a/internal/selector/candidate.go
+++ b/internal/selector/candidate.go
@@ -152,9 +152,9 @@
 	return pickBounded(l, bound, q.Prefixes[0].Key, holders)
 }
 
-// pickSpread returns a candidate within the bound for a call that found several targets full. It draws from
-// the first targets in the rendezvous order of the key; their number grows by spreadFactor with each target
-// found full.
+// pickSpread returns a candidate within the bound for a call that found several targets full. The candidate is
+// drawn from the first targets in the rendezvous order of the key; the number of these targets grows by
+// spreadFactor with each target found full.
 //
 // A prompt that a tenth of all calls share fills ten or more targets. If all calls tried the targets one by one in
 // the same order, each call would first request a slot at every full target, or be sent to a full target.
--- a/internal/selector/exclusion.go
+++ b/internal/selector/exclusion.go
@@ -69,8 +69,8 @@
 	return exclusion{cause: c, process: t.Key()}
 }
 
-// setExcluded records whether a target, or its data centre, is excluded for a cause. It does nothing if this is
-// unchanged.
+// setExcluded records whether a target, or its data centre, is excluded for a cause. It does nothing if the
+// exclusion is unchanged.
 func (h *health) setExcluded(s Source, c Cause, t *discoverer.Target, excluded bool) {
 	k := exclusionOf(c, t)
 	if h.excluded[k] == excluded {
--- a/internal/selector/health.go
+++ b/internal/selector/health.go
@@ -37,7 +37,8 @@
 	reportedAt map[discoverer.Key]time.Time
 	// lastResorts is when a call was last tried at a group without reachable targets, by group.
 	lastResorts map[string]time.Time
-	// excluded holds the current exclusions, and changes those that have not been returned yet.
+	// excluded holds the current exclusions; changes holds the changes of exclusions that have not been returned
+	// yet.
 	excluded map[exclusion]bool
 	changes  []HealthChange
 }
@@ -95,8 +96,8 @@
 	return ok && now.Sub(s) < reportedExclusion
 }
 
-// reportUnhealthy records that the home instance considers a target unhealthy.
-func (h *health) reportUnhealthy(now time.Time, t *discoverer.Target) {
+// recordUnhealthyReport records that the home instance considers a target unhealthy.
+func (h *health) recordUnhealthyReport(now time.Time, t *discoverer.Target) {
 	h.reportedAt[t.Key()] = now
 }
 
@@ -115,8 +116,8 @@
 }
 
 // slow reports whether a target is to be avoided: its answers begin much later than the median, and a probe call
-// was sent to it recently. If none was, the next call is the probe call. It also records a change of the TargetSlow
-// status.
+// was sent to it recently. If no probe call was sent recently, the next call is the probe call. slow also records a
+// change of the TargetSlow status.
 func (h *health) slow(now time.Time, t *discoverer.Target, median float64) bool {
 	n := t.Key()
 	if h.latencies.Latency(n) == 0 {
--- a/internal/selector/process_test.go
+++ b/internal/selector/process_test.go
@@ -36,7 +36,7 @@
 // difference returns the first observable difference between the state of two selectors, and an empty string if
 // there is none.
 func difference(now time.Time, c *selector.Selector, r *discoverer.Registry, d *selector.Selector, s *discoverer.Registry) string {
-	x, y := choices(c, now, r), choices(d, now, s)
+	x, y := describeState(c, now, r), describeState(d, now, s)
 
 	for i := range min(len(x), len(y)) {
 		if x[i] != y[i] {
@@ -54,8 +54,8 @@
 // newSelector returns a selector without state.
 func newSelector() *selector.Selector { return selector.New(selector.DefaultSettings()) }
 
-// choices returns everything about the state of a selector that affects calls.
-func choices(c *selector.Selector, now time.Time, r *discoverer.Registry) []string {
+// describeState returns everything about the state of a selector that affects calls.
+func describeState(c *selector.Selector, now time.Time, r *discoverer.Registry) []string {
 	var o []string
 
 	for _, v := range c.TargetStates(now, r) {
@@ -118,7 +118,7 @@
 		},
 		"prompts": func(s *selector.Selector, now time.Time, r *discoverer.Registry, t *discoverer.Target) {
 			for n := range uint64(60) {
-				s.Choose(now, r, group, selector.Query{Prefixes: query(n).Prefixes, Excluded: others(r, t)})
+				s.Choose(now, r, group, selector.Query{Prefixes: query(n).Prefixes, Excluded: otherIDs(r, t)})
 			}
 		},
 		"load report from a peer": func(s *selector.Selector, now time.Time, r *discoverer.Registry, t *discoverer.Target) {
@@ -135,8 +135,8 @@
 	}
 }
 
-// others returns the IDs of all targets but one.
-func others(r *discoverer.Registry, t *discoverer.Target) []string {
+// otherIDs returns the IDs of all targets but one.
+func otherIDs(r *discoverer.Registry, t *discoverer.Target) []string {
 	var o []string
 
 	for id := range r.Known {
--- a/internal/selector/selector.go
+++ b/internal/selector/selector.go
@@ -96,11 +96,11 @@
 // Choice is the target selected for a call.
 type Choice struct {
 	Target *discoverer.Target
-	// FetchFrom is the target from which Target may fetch the prompt, or its longest prefix cached anywhere. It is nil
-	// if Target has that cached itself, or if there is no such target.
+	// FetchFrom is the target from which Target may fetch the prompt, or its longest prefix cached anywhere. FetchFrom
+	// is nil if Target has the prefix cached itself, or if there is no such target.
 	FetchFrom *discoverer.Target
-	// Load is the estimated number of calls at Target, Bound the number it may have, and Usable the number of
-	// targets there were to select from.
+	// Load is the estimated number of calls at Target; Bound is the number of calls that Target may have; Usable
+	// is the number of targets that Target was selected from.
 	Load, Bound float64
 	Usable      int
 	// Cached reports whether Target was known to have the prompt cached.
@@ -115,8 +115,8 @@
 	// fraction of the latency objective (see evaluator.Evaluator). Zero if unknown.
 	MedianLatency float64
 
-	// prefixes are the prefixes of the prompt, and fresh the keys of those that Target was not known to have
-	// cached.
+	// prefixes are the prefixes of the prompt; fresh holds the keys of the prefixes that Target was not known to
+	// have cached.
 	prefixes []Prefix
 	fresh    []uint64
 }
--- a/internal/selector/view.go
+++ b/internal/selector/view.go
@@ -63,8 +63,8 @@
 const maxWitnesses = 2
 
 // Witnesses returns the targets to probe to distinguish a crash of t from a network partition: if the probes
-// succeed, t's data centre is reachable. They are other targets of its data centre, or of any data centre if t is
-// the only one there. Those with the fewest signs of failure are first.
+// succeed, t's data centre is reachable. The witnesses are other targets of t's data centre, or of any data centre
+// if t is the only target there. Those with the fewest signs of failure are first.
 func (s *Selector) Witnesses(now time.Time, r *discoverer.Registry, t *discoverer.Target) []*discoverer.Target {
 	var near, far []*discoverer.Target
 
--- a/internal/sharder/sharder_test.go
+++ b/internal/sharder/sharder_test.go
@@ -20,8 +20,9 @@
 	return e.Registry().Groups["g"]
 }
 
-// Guards against sharding without need, which moves customers away from their cached prompts: it requires
-// targets that crash one after the other, not simultaneous crashes or those of a few of many targets.
+// Guards against sharding without need, which moves customers away from their cached prompts. Sharding
+// must start only when many of a group's targets crash one after the other, not when they crash at the same time or
+// when few of them crash.
 func TestSharded(t *testing.T) {
 	for name, x := range map[string]struct {
 		targets, crashed int
--- a/internal/splitter/splitter.go
+++ b/internal/splitter/splitter.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// maxEventBytes bounds one event, so that a stream without events cannot fill the memory.
+	// maxEventBytes limits the length of one event, so that an event that never ends cannot exhaust the memory.
 	maxEventBytes = 1 << 20
 	// bufferBytes has space for several events of usual size.
 	bufferBytes = 4 << 10
--- a/internal/standin/commander/commander.go
+++ b/internal/standin/commander/commander.go
@@ -39,12 +39,12 @@
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
-	c.AddCommand(newPlatform(), newEngine(), newService(), newStore(), newServer())
+	c.AddCommand(newPlatformCommand(), newEngineCommand(), newServiceCommand(), newStoreCommand(), newServerCommand())
 
 	return c
 }
 
-func newPlatform() *cobra.Command {
+func newPlatformCommand() *cobra.Command {
 	var (
 		s platform.Settings
 		a netip.AddrPort
@@ -105,7 +105,7 @@
 	}
 }
 
-func newEngine() *cobra.Command {
+func newEngineCommand() *cobra.Command {
 	var (
 		t target
 		s engine.Settings
@@ -141,7 +141,7 @@
 	})
 }
 
-func newService() *cobra.Command {
+func newServiceCommand() *cobra.Command {
 	var (
 		t target
 		s service.Settings
--- a/internal/standin/commander/gateway.go
+++ b/internal/standin/commander/gateway.go
@@ -12,8 +12,8 @@
 	"github.com/auburntray/auburntray/platform/standin"
 )
 
-// newStore returns the command that runs the store that gateways read.
-func newStore() *cobra.Command {
+// newStoreCommand returns the command that runs the store that gateways read.
+func newStoreCommand() *cobra.Command {
 	var a netip.AddrPort
 
 	t := resolver.Table{
@@ -25,8 +25,8 @@
 	})
 }
 
-// newServer returns the command that runs a target that gateways discover in the store.
-func newServer() *cobra.Command {
+// newServerCommand returns the command that runs a target that gateways discover in the store.
+func newServerCommand() *cobra.Command {
 	var (
 		a, store netip.AddrPort
 		s        standin.ServerSettings
--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -89,9 +89,9 @@
 	}
 }
 
-// since returns the events with a higher number than the given one that are at least as old
+// eventsAfter returns the events with a higher number than the given one that are at least as old
 // as the lag. It omits every gap-th event; zero omits none.
-func (c *cache) since(number uint64, lag time.Duration, gap uint64) []Event {
+func (c *cache) eventsAfter(number uint64, lag time.Duration, gap uint64) []Event {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -207,7 +207,7 @@
 		return
 	}
 
-	c.JSON(http.StatusOK, e.cache.since(n, e.settings.EventLag, e.settings.EventGap))
+	c.JSON(http.StatusOK, e.cache.eventsAfter(n, e.settings.EventLag, e.settings.EventGap))
 }
 
 // Command is an instruction to load a model. Fence is the fencing number of the lease
--- a/internal/standin/waiter/waiter_test.go
+++ b/internal/standin/waiter/waiter_test.go
@@ -30,16 +30,16 @@
 // holds, and fails only after both the time and the number of checks are exceeded.
 func TestUntil(t *testing.T) {
 	tests := map[string]struct {
-		// after is when the condition begins to hold, and slow the duration of a check.
-		after, slow time.Duration
-		checks      int
-		message     string
+		// holdsAfter is when the condition begins to hold; checkDuration is how long a check takes.
+		holdsAfter, checkDuration time.Duration
+		checks                    int
+		message                   string
 	}{
 		"immediately":             {checks: 1},
-		"soon":                    {after: 3 * time.Millisecond, checks: 4},
-		"at the last moment":      {after: 30 * time.Second, checks: 30001},
-		"never":                   {after: time.Hour, checks: 30002, message: "the state not reached within 30s"},
-		"never, with slow checks": {after: time.Hour, slow: 99 * time.Millisecond, checks: 601, message: "the state not reached within 1m0s"},
+		"soon":                    {holdsAfter: 3 * time.Millisecond, checks: 4},
+		"at the last moment":      {holdsAfter: 30 * time.Second, checks: 30001},
+		"never":                   {holdsAfter: time.Hour, checks: 30002, message: "the state not reached within 30s"},
+		"never, with slow checks": {holdsAfter: time.Hour, checkDuration: 99 * time.Millisecond, checks: 601, message: "the state not reached within 1m0s"},
 	}
 	for name, x := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -52,9 +52,9 @@
 				go waiter.Until(f, "the state", func() bool {
 					n++
 
-					time.Sleep(x.slow)
+					time.Sleep(x.checkDuration)
 
-					return time.Since(b) >= x.after
+					return time.Since(b) >= x.holdsAfter
 				})
 
 				time.Sleep(2 * time.Minute)
--- a/internal/supervisor/cell_state.go
+++ b/internal/supervisor/cell_state.go
@@ -93,7 +93,7 @@
 		return nil, ErrUnknownCell
 	}
 
-	r := rand.New(rand.NewPCG(rand.Uint64(), uint64(cell))) //nolint:gosec // Jitter.
+	r := rand.New(rand.NewPCG(rand.Uint64(), uint64(cell))) //nolint:gosec // Used only for jitter.
 	h := &cellState{granter: granter.New(s.settings, r), lastUsed: now}
 	s.update(h, f, x)
 	s.cells[cell] = h
--- a/internal/supervisor/probe.go
+++ b/internal/supervisor/probe.go
@@ -40,7 +40,7 @@
 // probe probes the cell's targets without recent reports, each in the background.
 func (s *Supervisor) probe(c context.Context, now time.Time, m *matcher.Matcher, h *cellState) {
 	h.mu.Lock()
-	l := h.granter.Unreported(now, now.Add(-probeAfter))
+	l := h.granter.TargetsWithoutReport(now, now.Add(-probeAfter))
 	h.mu.Unlock()
 
 	for _, id := range l {
--- a/internal/supervisor/request.go
+++ b/internal/supervisor/request.go
@@ -129,8 +129,8 @@
 func flags(v granter.Verdict) uint8 {
 	var f uint8
 
-	if v.Returned {
-		f |= wire.FlagReturned
+	if v.AtPlacement {
+		f |= wire.FlagAtPlacement
 	}
 
 	if v.ReportDue {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -145,8 +145,8 @@
 
 // The flags of the reply to a request for a slot.
 const (
-	// FlagReturned means that the target has cached the chat's prompt prefix.
-	FlagReturned uint8 = 1 << iota
+	// FlagAtPlacement means that the target has cached the chat's prompt prefix.
+	FlagAtPlacement uint8 = 1 << iota
 	// FlagReportDue requests a Report when the target's answer begins.
 	FlagReportDue
 )
