--- a/internal/filterer/pick.go
+++ b/internal/filterer/pick.go
@@ -121,7 +121,7 @@
 		p.Slots.Release(r, granter.Outcome{OK: true, NeverSent: true})
 
 		return exchanger.Refuse(http.StatusServiceUnavailable, exchanger.CodeNotReady, time.Second,
-			"the configuration of this router is out of date")
+			"this router is a revision behind")
 	}
 
 	return nil
@@ -134,14 +134,14 @@
 		p.Counter.Add(counter.RefusedOverShare, 1)
 
 		return exchanger.Refuse(http.StatusTooManyRequests, exchanger.CodeOverShare, v.RetryAfter,
-			"the customer uses its full share of the targets, and no capacity is idle")
+			"the customer has its share of the targets, and none is idle")
 	case granter.Full:
 		p.Counter.Add(counter.RefusedFull, 1)
 
-		return exchanger.Refuse(http.StatusServiceUnavailable, exchanger.CodeFull, v.RetryAfter, "all targets are at capacity")
+		return exchanger.Refuse(http.StatusServiceUnavailable, exchanger.CodeFull, v.RetryAfter, "all targets are full")
 	default:
 		return exchanger.Refuse(http.StatusServiceUnavailable, exchanger.CodeNoTargets, v.RetryAfter,
-			"no target of the rule is in service")
+			"no target that the rule selects is in service")
 	}
 }
 
--- a/internal/filterer/pipeline.go
+++ b/internal/filterer/pipeline.go
@@ -150,7 +150,7 @@
 // rejection returns the Refusal for a call that the drainer did not admit.
 func (p *Pipeline) rejection(s drainer.Phase) error {
 	if s == drainer.Serving {
-		return exchanger.Refuse(http.StatusServiceUnavailable, exchanger.CodeBusy, defaultRetryAfter, "this router is at its limit of concurrent calls")
+		return exchanger.Refuse(http.StatusServiceUnavailable, exchanger.CodeBusy, defaultRetryAfter, "this router has too much to do")
 	}
 
 	return exchanger.Refuse(http.StatusServiceUnavailable, exchanger.CodeStopping, time.Second, "this router is stopping")
--- a/internal/filterer/send.go
+++ b/internal/filterer/send.go
@@ -22,8 +22,8 @@
 	Cancel(x *exchanger.Exchange)
 }
 
-// stalls detects stalls of this process.
-type stalls interface {
+// stallMonitor detects stalls of this process.
+type stallMonitor interface {
 	Stalled(since time.Time) bool
 }
 
@@ -31,7 +31,7 @@
 type Send struct {
 	Targets targets
 	Slots   slots
-	Stalls  stalls
+	Stalls  stallMonitor
 }
 
 // Name implements exchanger.Filter.
--- a/internal/granter/choose.go
+++ b/internal/granter/choose.go
@@ -46,7 +46,7 @@
 			Weight:      float64(t.Capacity),
 			Load:        l,
 			Counted:     !o,
-			Excluded:    o,
+			Ineligible:  o,
 			Unavailable: o || r >= t.Capacity,
 		})
 	}
--- a/internal/granter/granter.go
+++ b/internal/granter/granter.go
@@ -141,7 +141,7 @@
 		return g.refuse(Full)
 	}
 
-	if i != p && p != picker.NoTarget && !c[p].Excluded && g.worthWaiting(a, h) {
+	if i != p && p != picker.NoTarget && !c[p].Ineligible && g.worthWaiting(a, h) {
 		return Verdict{Reason: Wait, RetryAfter: retryInterval}
 	}
 
--- a/internal/granter/verdict.go
+++ b/internal/granter/verdict.go
@@ -34,7 +34,7 @@
 type Verdict struct {
 	Reason Reason
 	Target uint32
-	// Cell is the cell to request a slot from if the Reason is Elsewhere.
+	// Cell is the cell to request a slot from if the Reason is OtherCell.
 	Cell uint32
 	// AtPlacement reports whether the target is the one of the chat's placement, which holds its prefix.
 	AtPlacement bool
--- a/internal/leaser/leaser.go
+++ b/internal/leaser/leaser.go
@@ -2,8 +2,8 @@
 //
 // It applies the records of the leases stream in offset order, so that all readers
 // determine the same holder. It uses the log's append times, so the clocks of the routers
-// need not agree. The fencing token of a lease derives from the offset of the record that
-// acquired it.
+// need not agree. The fencing number of a lease is one more than the offset of the record
+// that acquired it.
 package leaser
 
 import "time"
@@ -18,7 +18,7 @@
 // Lease is the current lease on a target.
 type Lease struct {
 	Holder uint64
-	// Fence is the fencing token, which rises with each later lease on a target; zero means no lease.
+	// Fence is the fencing number, which rises with each later lease on a target; zero means no lease.
 	Fence   uint64
 	Expires time.Time
 }
--- a/internal/leaser/leaser_test.go
+++ b/internal/leaser/leaser_test.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// Guards against overlapping leases on a target and fencing tokens that do not rise, for
+// Guards against overlapping leases on a target and fencing numbers that do not rise, for
 // requests by any holder at any time.
 func TestLeasesNeverOverlap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/parser/document.go
+++ b/internal/parser/document.go
@@ -27,7 +27,7 @@
 	Limits    Limits              `json:"limits"`
 }
 
-// Target is one target: a model engine or a plain service.
+// Target is what calls are routed to: a model engine or a plain service.
 type Target struct {
 	// Address is where the target listens, an IP number and a port.
 	Address string `json:"address" validate:"required"`
@@ -44,7 +44,7 @@
 	// means that it sends no commands.
 	Model string `json:"model,omitempty" validate:"max=63"`
 	// ChecksFence states that the target refuses commands with an outdated fencing
-	// token.
+	// number.
 	ChecksFence bool `json:"checksFence,omitempty"`
 }
 
--- a/internal/picker/picker.go
+++ b/internal/picker/picker.go
@@ -41,8 +41,9 @@
 	// the mean if Counted is set.
 	Unavailable bool
 	Counted     bool
-	// Excluded reports whether the target is excluded for a reason other than its load.
-	Excluded bool
+	// Ineligible reports whether the target may not get the request for a reason other than its
+	// load, such as that the rule does not select it, or that it is unhealthy or leaving.
+	Ineligible bool
 }
 
 // Request holds the properties of a request that the selection depends on.
--- a/internal/registrar/registrar_test.go
+++ b/internal/registrar/registrar_test.go
@@ -135,8 +135,8 @@
 }
 
 // Guards against keys that remain claimed after a claim failed. The log is unavailable or
-// loses replies, or the home fails: a failed claim must be released, so that the caller's
-// next attempt wins the key.
+// loses replies, or the home fails: a claim that was reported as failed must never be
+// won later, and must be released, so that the caller's next attempt wins the key.
 func TestClaimUnderFaults(t *testing.T) {
 	for name, tc := range map[string]struct {
 		faults platform.Faults
--- a/internal/requester/report.go
+++ b/internal/requester/report.go
@@ -101,7 +101,7 @@
 // would decide locally for seconds, while the healthy homes continue to grant slots of
 // the same targets.
 func (r *Requester) suspect(h gossiper.Member, start time.Time, err error) {
-	if detector.TimedOut(err) && r.stalls.Stalled(start) {
+	if detector.TimedOut(err) && r.stallMonitor.Stalled(start) {
 		return
 	}
 
--- a/internal/requester/requester.go
+++ b/internal/requester/requester.go
@@ -52,12 +52,12 @@
 
 // Requester requests slots and tracks this router's grants. It is safe for concurrent use.
 type Requester struct {
-	peers      peers
-	members    members
-	supervisor supervisor
-	counter    *counter.Counter
-	stalls     stallMonitor
-	timeout    time.Duration
+	peers        peers
+	members      members
+	supervisor   supervisor
+	counter      *counter.Counter
+	stallMonitor stallMonitor
+	timeout      time.Duration
 
 	mu  sync.Mutex
 	seq uint32
@@ -79,7 +79,7 @@
 // New returns a Requester without grants. The timeout bounds one request to a home.
 func New(m peers, l members, s supervisor, n *counter.Counter, d stallMonitor, timeout time.Duration) *Requester {
 	return &Requester{
-		peers: m, members: l, supervisor: s, counter: n, stalls: d, timeout: timeout,
+		peers: m, members: l, supervisor: s, counter: n, stallMonitor: d, timeout: timeout,
 		pending: make(map[uint32]bool), cells: make(map[uint32]*cell), reported: make(map[uint32]stateReport),
 	}
 }
--- a/internal/retrier/retrier.go
+++ b/internal/retrier/retrier.go
@@ -48,7 +48,7 @@
 	r.budget = min(r.budget+budgetRatio, maxBudget)
 }
 
-// Next reports whether to retry, and the backoff before the retry.
+// Next reports whether to retry, and the delay before the retry.
 //
 // Without the budget, retries would multiply the load of failing targets and keep them
 // overloaded after the cause has been removed. With it, retries add at most a tenth of the
--- a/internal/router/run.go
+++ b/internal/router/run.go
@@ -81,7 +81,8 @@
 
 // Stop drains and stops the router. It reports not ready until the load balancer has
 // noticed, then refuses new calls while calls in progress complete, hands its placements
-// over to other routers and shuts down. It fails if the context ends first.
+// over to other routers and shuts down. It fails if the context ends first, or if connections are
+// not closed within settleTimeout.
 func (r *Router) Stop(c context.Context) error {
 	r.drainer.StartShutdown(time.Now())
 	logrus.WithFields(logrus.Fields{"event": "stopping", "name": r.settings.Name, "inFlight": r.drainer.Running()}).Info()
--- a/internal/sender/call.go
+++ b/internal/sender/call.go
@@ -73,8 +73,9 @@
 	return r, nil
 }
 
-// Cancel notifies the target that the caller has disconnected. It does not use the
-// context of the call, which is already cancelled then. Errors are ignored.
+// Cancel notifies the target that nobody waits for the answer any more: the caller has
+// disconnected, or the deadline has passed. It does not use the context of the call, which has
+// ended by then. Errors are ignored.
 func (s *Sender) Cancel(x *exchanger.Exchange) {
 	c, stop := context.WithTimeout(context.Background(), cancelTimeout)
 	defer stop()
--- a/internal/sender/command.go
+++ b/internal/sender/command.go
@@ -24,7 +24,7 @@
 }
 
 // ReportedModel returns the model of the last command that a target accepted, and the
-// fencing token of that command. It fails with ErrNeverSent or ErrBroken.
+// fencing number of that command. It fails with ErrNeverSent or ErrBroken.
 func (s *Sender) ReportedModel(c context.Context, a netip.AddrPort) (model string, fence uint64, err error) {
 	q, err := http.NewRequestWithContext(c, http.MethodGet, s.targetURL(a, commandsPath).String(), nil)
 	if err != nil {
@@ -46,8 +46,8 @@
 	return o.Model, o.Fence, nil
 }
 
-// CommandModel commands a target to load a model, under the fencing token of a lease. It
-// fails with ErrFenced when the target has received a higher token, and otherwise with
+// CommandModel commands a target to load a model, under the fencing number of a lease. It
+// fails with ErrFenced when the target has received a higher number, and otherwise with
 // ErrNeverSent or ErrBroken.
 func (s *Sender) CommandModel(c context.Context, a netip.AddrPort, model string, fence uint64) error {
 	b, err := json.Marshal(modelCommand{Model: model, Fence: fence})
--- a/internal/sender/errors.go
+++ b/internal/sender/errors.go
@@ -12,7 +12,7 @@
 	ErrWrongRequest = errors.New("the answer belongs to another request")
 	// ErrTooLong means that an answer is longer than the router buffers in memory.
 	ErrTooLong = errors.New("the answer is too long")
-	// ErrFenced means that a target has received the fencing token of a later lease.
+	// ErrFenced means that a target has received the fencing number of a later lease.
 	ErrFenced = errors.New("the target has received a command under a later lease")
 	// ErrSettings means that the TLS settings for targets are invalid.
 	ErrSettings = errors.New("the TLS settings for targets are invalid")
--- a/internal/splitter/splitter.go
+++ b/internal/splitter/splitter.go
@@ -45,7 +45,7 @@
 		if err != nil {
 			// The error is formatted, not wrapped: io.EOF in the middle of an event
 			// must not be mistaken for the regular end of the stream.
-			return nil, "", errors.Mark(errors.Newf("the stream ended within an event: %v", err), ErrBroken)
+			return nil, "", errors.Mark(errors.Newf("the stream ended in an event: %v", err), ErrBroken)
 		}
 
 		raw = append(raw, l...)
--- a/internal/supervisor/cell_state.go
+++ b/internal/supervisor/cell_state.go
@@ -11,7 +11,8 @@
 	"github.com/auburntray/auburntray/internal/parser"
 )
 
-// cellState is the state of one cell at its home. Each cell has its own lock, so requests for different
+// cellState is the state of one cell at this router, which is its home, was its home, or received its
+// placements as the next home. Each cell has its own lock, so requests for different
 // cells don't wait for each other.
 type cellState struct {
 	mu       sync.Mutex
--- a/internal/supervisor/probe.go
+++ b/internal/supervisor/probe.go
@@ -18,7 +18,8 @@
 	probeTimeout = 500 * time.Millisecond
 )
 
-// Health is a target's response to a probe.
+// Health is what a target reports of itself, in its response to a probe or in the header of any
+// other answer.
 type Health struct {
 	// Requests is the number of requests at the target; negative when it reports none.
 	Requests int
--- a/internal/supervisor/supervisor.go
+++ b/internal/supervisor/supervisor.go
@@ -26,10 +26,10 @@
 	ErrMessage = errors.New("invalid cell message")
 	// ErrUnknownCell means that the configuration in force at this router has no such cell or
 	// rule. The requester's configuration may be newer or older.
-	ErrUnknownCell = errors.New("unknown cell or rule in the current configuration")
+	ErrUnknownCell = errors.New("no such cell or rule")
 )
 
-// Supervisor reserves slots for requests of other routers, and maintains one Granter per cell. It does
+// Supervisor reserves slots for requests of all routers, this one included, and maintains one Granter per cell. It does
 // not check that this router is the cell's home. The router that sent the request considers it the
 // home, and a refusal would leave the call without a slot while routers disagree on which routers are
 // live. It is safe for concurrent use.
