--- a/internal/bencher/bencher.go
+++ b/internal/bencher/bencher.go
@@ -41,7 +41,7 @@
 	// customers.
 	Refused, SurgeRefused float64
 
-	// Waited is the mean time that a request waited for a slot.
+	// Waited is the mean time that a request waited for a slot at its placement.
 	Waited time.Duration
 
 	waited                                         time.Duration
--- a/internal/bencher/world.go
+++ b/internal/bencher/world.go
@@ -150,7 +150,7 @@
 
 			t += tickInterval
 		default:
-			w.completeNext()
+			w.handleNext()
 		}
 	}
 }
@@ -262,7 +262,8 @@
 	}
 }
 
-func (w *world) completeNext() {
+// handleNext completes the request of the earliest event, or tries a waiting one again.
+func (w *world) handleNext() {
 	e, _ := heap.Pop(&w.events).(event)
 	if e.request.target == nil {
 		w.startRequest(e.request)
--- a/internal/standin/waiter/waiter.go
+++ b/internal/standin/waiter/waiter.go
@@ -25,7 +25,7 @@
 
 	for n := 0; !f(); n++ {
 		if time.Since(b) > maxWait && n >= minChecks {
-			t.Fatalf("%s not reached within %v", what, time.Since(b).Round(time.Second))
+			t.Fatalf("timed out after %v waiting for %s", time.Since(b).Round(time.Second), what)
 		}
 
 		time.Sleep(checkInterval)
--- a/internal/standin/waiter/waiter_test.go
+++ b/internal/standin/waiter/waiter_test.go
@@ -38,8 +38,8 @@
 		"immediately":             {checks: 1},
 		"soon":                    {holdsAfter: 3 * time.Millisecond, checks: 4},
 		"at the last moment":      {holdsAfter: 30 * time.Second, checks: 30001},
-		"never":                   {holdsAfter: time.Hour, checks: 30002, message: "the state not reached within 30s"},
-		"never, with slow checks": {holdsAfter: time.Hour, checkDuration: 99 * time.Millisecond, checks: 601, message: "the state not reached within 1m0s"},
+		"never":                   {holdsAfter: time.Hour, checks: 30002, message: "timed out after 30s waiting for the state"},
+		"never, with slow checks": {holdsAfter: time.Hour, checkDuration: 99 * time.Millisecond, checks: 601, message: "timed out after 1m0s waiting for the state"},
 	}
 	for name, x := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/scripts/failures.sh
+++ b/scripts/failures.sh
@@ -126,8 +126,8 @@
   [ "$(value wrong)" -eq 0 ] && [ "$(value refused)" -eq 0 ] && no_duplicate_runs
 }
 
-# The platform's log is unavailable. Chats are served; a booking is refused as not run, and has not run. After
-# the outage the booking runs.
+# The platform's log is unavailable. Chats are served; a booking is refused at once as not run, and has not run.
+# After the outage the booking runs.
 case_outage() {
   set_faults '{"outage": true}'
   load "$(all_routers)" 5s --booking-part 0 || return 1
@@ -171,7 +171,7 @@
   all_served && no_duplicate_runs
 }
 
-# An engine announces that it is leaving. It soon gets no new calls, and the calls that it runs complete.
+# An engine announces that it is leaving. It gets no new calls within seconds, and the calls that it runs complete.
 case_leave() {
   start_load "$(all_routers)" 10s
   kill -TERM "$pid_engine_4"
