--- a/internal/advertiser/advertiser.go
+++ b/internal/advertiser/advertiser.go
@@ -36,8 +36,8 @@
 // kinds are the message kinds of updates.
 var kinds = broadcaster.Kinds{Direct: wire.KindUpdate, Relay: wire.KindUpdateRelay} //nolint:gochecknoglobals // A constant.
 
-// TargetState is what this instance knows of targets.
-type TargetState interface {
+// Targets is what this instance knows of targets.
+type Targets interface {
 	Update() selector.Update
 	ApplyUpdate(n selector.Update)
 	// MarkGone records that processes are gone.
@@ -50,12 +50,12 @@
 type Advertiser struct {
 	broadcaster *broadcaster.Broadcaster
 	members     broadcaster.Members
-	state       TargetState
+	targets     Targets
 }
 
 // New returns an advertiser. It sends no updates until Run is called.
-func New(m broadcaster.Messenger, x broadcaster.Members, k TargetState) *Advertiser {
-	return &Advertiser{broadcaster: broadcaster.New(m, x), members: x, state: k}
+func New(m broadcaster.Messenger, x broadcaster.Members, k Targets) *Advertiser {
+	return &Advertiser{broadcaster: broadcaster.New(m, x), members: x, targets: k}
 }
 
 // Run sends updates to the other instances until the context ends.
@@ -94,7 +94,7 @@
 		})
 	}
 
-	i.state.ApplyUpdate(n)
+	i.targets.ApplyUpdate(n)
 
 	return nil, nil //nolint:nilnil // Updates have no reply.
 }
@@ -123,7 +123,7 @@
 func (i *Advertiser) HandleGone(_ context.Context, _ uint64, body []byte) (msgp.Marshaler, error) {
 	l, err := decodeProcesses(body)
 	if err == nil {
-		i.state.MarkGone(l)
+		i.targets.MarkGone(l)
 	}
 
 	return nil, err
@@ -133,7 +133,7 @@
 func (i *Advertiser) HandleLeaving(_ context.Context, _ uint64, body []byte) (msgp.Marshaler, error) {
 	l, err := decodeProcesses(body)
 	if err == nil {
-		i.state.MarkLeaving(l)
+		i.targets.MarkLeaving(l)
 	}
 
 	return nil, err
@@ -174,7 +174,7 @@
 // advertise sends what has changed to all other instances. An update that does not arrive is not repeated;
 // its entries are sent again the next time that they are used.
 func (i *Advertiser) advertise(c context.Context) {
-	n := i.state.Update()
+	n := i.targets.Update()
 	if len(n.Placements) == 0 && len(n.Loads) == 0 {
 		return
 	}
--- a/internal/advertiser/advertiser_test.go
+++ b/internal/advertiser/advertiser_test.go
@@ -22,8 +22,8 @@
 	"github.com/auburntray/auburntray/internal/wire"
 )
 
-// minInterval is the interval between two updates in a fleet of twenty instances.
-const minInterval = 320 * time.Millisecond
+// interval is the interval between two updates in a fleet of twenty instances.
+const interval = 320 * time.Millisecond
 
 // targetState is the state of one instance in these tests.
 type targetState struct {
@@ -278,8 +278,8 @@
 		dead, silent []int
 		within       time.Duration
 	}{
-		"crashed": {dead: []int{1, 3}, within: minInterval},
-		"cut off": {silent: []int{1, 3, 5, 7}, within: 10 * minInterval},
+		"crashed": {dead: []int{1, 3}, within: interval},
+		"cut off": {silent: []int{1, 3, 5, 7}, within: 10 * interval},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/discoverer/cold_test.go
+++ b/internal/discoverer/cold_test.go
@@ -29,7 +29,7 @@
 		"the same record again":       {entries: []discoverer.Target{entry(2*time.Second, 1), entry(2*time.Second, 1)}, interval: time.Second, want: time.Second},
 		"newer record":                {entries: []discoverer.Target{entry(2*time.Second, 1), entry(2*time.Second, 2)}, interval: time.Second, want: 2 * time.Second},
 		"newer record states warm":    {entries: []discoverer.Target{entry(2*time.Second, 1), entry(0, 2)}},
-		"cold again, start unknown":   {entries: []discoverer.Target{entry(0, 1), entry(time.Second, 2)}, interval: time.Minute, want: time.Second},
+		"cold again, same process":    {entries: []discoverer.Target{entry(0, 1), entry(time.Second, 2)}, interval: time.Minute, want: time.Second},
 		"not stated":                  {entries: []discoverer.Target{entry(discoverer.ColdUnknown, 1)}, want: usual},
 		"not stated for long":         {entries: []discoverer.Target{entry(discoverer.ColdUnknown, 1), entry(discoverer.ColdUnknown, 2)}, interval: time.Minute},
 		"another process, not stated": {entries: []discoverer.Target{entry(0, 1), {ID: "t", Start: n, ColdTime: discoverer.ColdUnknown, Offset: 2}}, interval: time.Minute, want: usual},
--- a/internal/discoverer/process.go
+++ b/internal/discoverer/process.go
@@ -12,9 +12,10 @@
 // another start.
 //
 // The start does not tell which process of an ID is the newer one. It is measured by the target's
-// clock; if that clock was set back before a restart, the newer process has the earlier start.
-// Instead, the record with the highest offset of all records of the ID names the process that runs,
-// whatever its start. The reader of the list tracks the offsets.
+// clock; if that clock was set back before a restart, the newer process has the earlier start, and
+// judged by that it would be considered gone for as long as the clock was set back. Instead, the
+// record with the highest offset of all records of the ID names the process that runs, whatever its
+// start. The reader of the list tracks the offsets.
 type Process struct {
 	ID string
 	// Start is zero when the list does not state it. Processes of one ID without a start can't be
--- a/internal/discoverer/registry.go
+++ b/internal/discoverer/registry.go
@@ -44,9 +44,9 @@
 	return newRegistry(l)
 }
 
-// WithEvacuated returns a registry in which the targets of closed data centres accept no new calls, with
-// the times at which data centres were reopened. Targets of closed data centres remain known, so that
-// cached prompts can still be fetched from them.
+// WithEvacuated returns a registry in which the targets of evacuated data centres accept no new calls, with
+// the times at which the evacuations of other data centres ended. Targets of evacuated data centres remain
+// known, so that cached prompts can still be fetched from them.
 func (r *Registry) WithEvacuated(evacuated func(centre string) bool, reopened map[string]time.Time) *Registry {
 	o := *r
 	o.Groups, o.Evacuated, o.Reopened = maps.Clone(r.Groups), make(map[string][]*Target), reopened
--- a/internal/discoverer/target.go
+++ b/internal/discoverer/target.go
@@ -25,7 +25,7 @@
 	// does not state it. It distinguishes the processes of an ID, but does not order them.
 	Start time.Time
 	// ColdTime is how long after its entry was read the process remains cold, that is, can serve only few
-	// calls at a time; negative when the entry does not state it.
+	// calls at a time; ColdUnknown when the entry does not state it.
 	ColdTime time.Duration
 	// Offset is the offset of the entry's record.
 	Offset int64
--- a/internal/gatekeeper/servers.go
+++ b/internal/gatekeeper/servers.go
@@ -80,7 +80,8 @@
 // where it refuses calls that other instances can serve.
 func (g *Gatekeeper) answerReady(c *gin.Context) {
 	r := g.state.Registry()
-	// If all data centres are evacuated the instance is ready: refusals state when to retry.
+	// If all data centres are evacuated the instance is ready nevertheless: its refusals state when to
+	// retry, and if no instance were ready, callers would get that from nobody.
 	if g.state.Catalog() == nil || len(r.Groups)+len(r.Evacuated) == 0 || !g.drainer.Ready() || g.forwarder.CutOff() {
 		c.Status(http.StatusServiceUnavailable)
 
--- a/internal/gatekeeper/state.go
+++ b/internal/gatekeeper/state.go
@@ -79,7 +79,8 @@
 func (s *state) Instances() int { return s.instances() }
 
 // freshFraction is a fraction of applyWithin. Until that time has passed since the platform last
-// confirmed the catalog, a rule or key that is missing from the catalog certainly does not exist.
+// confirmed the catalog, the instance takes a rule or key that is missing from it as not existing: one
+// that was added since does not have to be in force yet.
 const freshFraction = 0.95
 
 // Fresh implements forwarder.ClusterState.
--- a/internal/gatekeeper/target_handler_test.go
+++ b/internal/gatekeeper/target_handler_test.go
@@ -101,7 +101,7 @@
 
 // Guards against a log line and a count for each read of an invalid entry that remains for days and
 // is repeated in every full list: they would hide changes.
-func TestRefusedEntryIsReportedOncePerChange(t *testing.T) {
+func TestInvalidEntryIsReportedOncePerChange(t *testing.T) {
 	i := is.New(t)
 	h := collector.New(t)
 	_, s, c := newTestState(t)
@@ -214,7 +214,7 @@
 	}{
 		"older entry of a target":     {[]watcher.Record{{Key: "a", Value: []byte("-g"), Offset: 1}, {Key: "b", Value: []byte("g"), Offset: 2}}, 9, true, []string{"a", "b", "c"}},
 		"target that left":            {[]watcher.Record{{Key: "a", Value: []byte("g"), Offset: 5}, {Key: "b", Value: []byte("g"), Offset: 2}, {Key: "d", Value: []byte("g"), Offset: 4}}, 9, true, []string{"a", "b", "c"}},
-		"refused entry as valid":      {[]watcher.Record{{Key: "a", Value: []byte("g"), Offset: 5}, {Key: "b", Value: []byte("g"), Offset: 2}, {Key: "e", Value: []byte("g"), Offset: 3}}, 9, true, []string{"a", "b", "c"}},
+		"invalid entry as valid":      {[]watcher.Record{{Key: "a", Value: []byte("g"), Offset: 5}, {Key: "b", Value: []byte("g"), Offset: 2}, {Key: "e", Value: []byte("g"), Offset: 3}}, 9, true, []string{"a", "b", "c"}},
 		"end before a joined target":  {[]watcher.Record{{Key: "a", Value: []byte("g"), Offset: 5}, {Key: "b", Value: []byte("g"), Offset: 2}}, 8, true, []string{"a", "b", "c"}},
 		"same state":                  {[]watcher.Record{{Key: "a", Value: []byte("g"), Offset: 5}, {Key: "b", Value: []byte("g"), Offset: 2}, {Key: "c", Value: []byte("g"), Offset: 8}}, 9, false, []string{"a", "b", "c"}},
 		"newer state":                 {[]watcher.Record{{Key: "a", Value: []byte("g"), Offset: 5}, {Key: "d", Value: []byte("g"), Offset: 11}}, 12, false, []string{"a", "d"}},
--- a/internal/quarantiner/trials.go
+++ b/internal/quarantiner/trials.go
@@ -12,8 +12,8 @@
 
 // Trials permits one attempt at a time of each suspected call in the whole fleet. Otherwise a call that
 // arrives at many instances at once would crash a target for each of them, before any has notified the
-// others. Trials are kept at the call's home (home node), the one instance responsible for the call. The zero value is empty.
-// Trials is not safe for concurrent use.
+// others. Trials are kept at the call's home (home node), the one instance responsible for the call. The
+// zero value is empty. Trials is not safe for concurrent use.
 type Trials struct {
 	running map[digester.Digest]time.Time
 }
--- a/internal/replicator/message.go
+++ b/internal/replicator/message.go
@@ -62,7 +62,7 @@
 
 	// The context ends with the connection on which the message arrived, which may close before all
 	// instances are notified.
-	r.broadcaster.Local(context.WithoutCancel(c), broadcastKinds, msgp.Raw(body))
+	r.broadcaster.Local(context.WithoutCancel(c), kinds, msgp.Raw(body))
 
 	return nil, nil //nolint:nilnil // Without reply.
 }
@@ -133,7 +133,7 @@
 	nextDelay = syncInterval
 
 	if r.merge(&p) {
-		r.broadcaster.Local(c, broadcastKinds, &p)
+		r.broadcaster.Local(c, kinds, &p)
 	} else if len(p.Calls) >= maxRecords {
 		// There are more records than a message holds, and this response contained nothing new.
 		nextDelay = fullSyncInterval
--- a/internal/replicator/replicator.go
+++ b/internal/replicator/replicator.go
@@ -48,7 +48,7 @@
 )
 
 // kinds are the message kinds of broadcasts.
-var broadcastKinds = broadcaster.Kinds{Direct: wire.KindSuspects, Relay: wire.KindSuspectsRelay} //nolint:gochecknoglobals // A constant.
+var kinds = broadcaster.Kinds{Direct: wire.KindSuspects, Relay: wire.KindSuspectsRelay} //nolint:gochecknoglobals // A constant.
 
 // Replicator holds the records of this instance and replicates them. It is safe for concurrent use.
 type Replicator struct {
@@ -217,7 +217,7 @@
 		sleeper.Sleep(c, batchDelay)
 
 		if m := r.takePending(); len(m.Calls) > 0 {
-			r.broadcaster.All(c, broadcastKinds, m)
+			r.broadcaster.All(c, kinds, m)
 		}
 	}
 }
--- a/internal/replicator/store.go
+++ b/internal/replicator/store.go
@@ -29,7 +29,7 @@
 const (
 	// storeTimeout bounds a request to the store; a read may take longer while its answer arrives.
 	storeTimeout = time.Second
-	// storeRetryDelay is the pause after a failed request. A reader waits one storeRetryDelay longer for
+	// storeRetryDelay is the pause after a failed request. An instance waits one storeRetryDelay longer for
 	// each live instance with a lower ID, for at most maxRank of these: one instance reads and notifies the
 	// others, so that not all of them send requests to a store that is unavailable.
 	storeRetryDelay = time.Second
@@ -52,7 +52,7 @@
 			// After success at the first attempt the records are not broadcast: the other instances read
 			// them as well.
 			if tries > 1 {
-				r.broadcaster.All(c, broadcastKinds, m)
+				r.broadcaster.All(c, kinds, m)
 			}
 
 			return
