--- a/internal/commander/gateway_test.go
+++ b/internal/commander/gateway_test.go
@@ -38,7 +38,8 @@
 
 // Guards against an outage when the platform removes an instance, writes the new seeds
 // to the settings of the others and sends them SIGHUP: the signal terminated the processes,
-// which broke all streams. They must continue, with the new settings in force.
+// which broke all streams, and no calls were served until they had started again. They must
+// continue, with the new settings in force.
 func TestHangUpReloadsSettings(t *testing.T) {
 	i := is.New(t)
 	p := filepath.Join(t.TempDir(), "settings.toml")
--- a/internal/commander/operate.go
+++ b/internal/commander/operate.go
@@ -223,7 +223,7 @@
 	case publisher.Stale:
 		return errors.Mark(errors.Newf("revision %d is in force; look at it and publish on it", r.Revision), ErrNotDone)
 	case publisher.Unknown:
-		return errors.Mark(errors.Newf("the outcome is unknown; publish again with --id %s", r.ID), ErrNotDone)
+		return errors.Mark(errors.Newf("it is unknown whether the change was accepted; publish again with --id %s", r.ID), ErrNotDone)
 	case publisher.NotRun:
 	}
 
--- a/internal/commander/root.go
+++ b/internal/commander/root.go
@@ -20,7 +20,7 @@
 func New() *cobra.Command {
 	c := &cobra.Command{
 		Use:           "auburntray",
-		Short:         "A fleet of routers for large numbers of recurring chats",
+		Short:         "A fleet of routers for large numbers of returning chats",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		PersistentPreRun: func(c *cobra.Command, _ []string) {
--- a/internal/explainer/explainer_test.go
+++ b/internal/explainer/explainer_test.go
@@ -48,7 +48,8 @@
 }
 
 // Guards against lines out of order when the wall clock of an instance steps back by 2 s during a
-// call: ordered by wall-clock time, the answer would precede the failed attempt.
+// call: ordered by wall-clock time, the answer would precede the failed attempt, and engineers would look
+// for the cause of the failure in the wrong place.
 func TestHistoryOrderAcrossClockStep(t *testing.T) {
 	const stepped = `time="2026-05-01T10:00:01.500Z" level=info event=attemptFailed id=c1 steady="2026-05-01T10:00:01.500Z" target=t1
 time="2026-05-01T09:59:59.600Z" level=info event=callServed id=c1 steady="2026-05-01T10:00:01.600Z" target=t2
--- a/internal/gossiper/gossiper.go
+++ b/internal/gossiper/gossiper.go
@@ -1,5 +1,5 @@
-// Package gossiper determines which routers are live from the heartbeats that they relay
-// to each other.
+// Package gossiper determines which routers are live from the heartbeats ("beats" for
+// short) that they relay to each other.
 package gossiper
 
 import (
@@ -198,8 +198,8 @@
 }
 
 // Homes returns the home of a key and then the routers that would succeed it as home, as
-// assigned by Assign, at most number routers in total. The result is empty only if this router is leaving and
-// no other is live.
+// assigned by Assign, at most number routers in total. The result is empty only if this
+// router is leaving and no other is live.
 func (g *Gossiper) Homes(now time.Time, key uint64, centres []string, number int) []Member {
 	o := g.viewAt(now).homeAndSuccessors(Key{Key: key, Centres: centres})
 
--- a/internal/hasher/hasher.go
+++ b/internal/hasher/hasher.go
@@ -53,7 +53,7 @@
 
 // Score returns the weighted rendezvous score of a candidate for a key. The candidate with the highest
 // score wins, so that each candidate wins a share of the keys in proportion to its weight. A weight of
-// zero or less gives the score -Inf. It is safe for concurrent use.
+// zero or less gives the score -Inf, with which a candidate never wins. It is safe for concurrent use.
 //
 // Source: Schindelhauer and Schomaker, "Weighted distributed hash tables"
 // (2005), the logarithmic method.
--- a/internal/recorder/errors.go
+++ b/internal/recorder/errors.go
@@ -3,8 +3,8 @@
 import "github.com/cockroachdb/errors"
 
 var (
-	// ErrDown means that the log service did not process the request: the
-	// connection failed, or the service answered that it is unavailable.
+	// ErrDown means that the log service did not process the request: it could not be
+	// dialled, or it answered that it is unavailable or received too many requests.
 	ErrDown = errors.New("the log service is unavailable")
 	// ErrUncertain means that no usable answer was received: an append may have taken effect.
 	ErrUncertain = errors.New("the log service did not answer")
--- a/internal/reducer/reducer.go
+++ b/internal/reducer/reducer.go
@@ -89,8 +89,8 @@
 	record Record
 }
 
-// New returns a Reducer with an empty document at revision 0. The first record that it
-// applies is the one at offset 0.
+// New returns a Reducer that has applied no records: its document is empty, its revision
+// and Next are 0.
 func New() *Reducer {
 	return &Reducer{complete: true}
 }
--- a/internal/repeater/repeater.go
+++ b/internal/repeater/repeater.go
@@ -63,10 +63,10 @@
 	peerTimeout = 250 * time.Millisecond
 	// peerSlack is how long after the end of its wait a call to another instance times out.
 	peerSlack = 250 * time.Millisecond
-	// maxLinkQueue limits the long answers that are queued on an instance's link: when these occupy the link for
+	// maxBacklog limits the long answers that are queued on an instance's link: when these occupy the link for
 	// this long or longer, the next requester of a long answer is redirected. It is below peerSlack, so that calls
 	// queued behind long answers do not time out.
-	maxLinkQueue = 200 * time.Millisecond
+	maxBacklog = 200 * time.Millisecond
 	// peerRoundPause is the pause between two rounds of calls to other instances while the platform refuses this
 	// instance. The platform is called again in each round, and refused calls are billed too.
 	peerRoundPause = 500 * time.Millisecond
@@ -142,7 +142,7 @@
 func (r *Repeater) AddStream(name string, s watcher.Source, waitBudget time.Duration) *Stream {
 	x := &Stream{
 		name: name, repeater: r, source: s, waitBudget: waitBudget, cache: newCache(), changed: make(chan struct{}),
-		relayer: relayer.New(relayer.Settings{Rate: r.rate, MaxBacklog: maxLinkQueue}),
+		relayer: relayer.New(relayer.Settings{Rate: r.rate, MaxBacklog: maxBacklog}),
 	}
 	r.streams[name] = x
 
--- a/internal/repeater/repeater_test.go
+++ b/internal/repeater/repeater_test.go
@@ -656,7 +656,8 @@
 }
 
 // Guards against 24 instances of a data centre that each retry in an outage: refusals are billed and use up the
-// platform's rate limit. When the platform is back, all must know a change in time.
+// platform's rate limit. A few must call for all. When the platform is back, all must know a change within the
+// usual time.
 func TestFewInstancesProbeAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -847,7 +848,7 @@
 }
 
 // Guards against a revoked key that is still accepted after three seconds: the configuration has hundreds of rules,
-// its versions follow each other quickly, and the data centre's reader sends each of them many times over a
+// its versions follow each other quickly, and the data centre's reader sends each of them twenty times over a
 // narrow-bandwidth link. Here the reader serves nine instances.
 func TestLongRecordsInQuickSuccession(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/repeater/upstream.go
+++ b/internal/repeater/upstream.go
@@ -138,8 +138,8 @@
 // read from that one.
 //
 // An instance that has just started does not know the others of its data centre. When many start at once, each would
-// read from the platform until they know each other, which would cost almost as much as a whole day of normal
-// operation.
+// read from the platform until they know each other, which would cost most of what a whole day without incidents
+// costs.
 func (s *Stream) seed() (upstream, bool) {
 	m := s.repeater.members
 	l := m.Seeds()
--- a/internal/watcher/watcher.go
+++ b/internal/watcher/watcher.go
@@ -81,8 +81,8 @@
 	name    string
 	source  Source
 	handler Handler
-	// pause follows a read that returned records. It limits the rate of reads of a
-	// stream that changes all the time.
+	// pause follows a read that returned records. It limits the reads of a stream that
+	// changes all the time to several per second.
 	pause time.Duration
 	// wait is how long a read waits for a change.
 	wait time.Duration
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -129,13 +129,13 @@
 	Excluded []uint32
 	// WaitedMs is how long the request has waited for a slot so far.
 	WaitedMs uint32
-	// Forwarded reports that the home of another cell redirected the request to this one.
+	// Forwarded reports that the home of another cell forwarded the request to this one.
 	Forwarded bool
 }
 
 // SlotReply is the reply to a request for a slot. Reason is a granter.Reason. Target is
-// the ID of the target of the granted slot or, when the reply redirects the request, the
-// ID of the cell to request a slot from. Flags are a combination of the Flag constants.
+// the ID of the target of the granted slot or, when the home forwards the request to
+// another cell, the ID of that cell. Flags are a combination of the Flag constants.
 type SlotReply struct {
 	Reason       uint8
 	Target       uint32
@@ -290,15 +290,16 @@
 
 // StreamReply carries records in order, and the offset after the last. Either they
 // are the records from the requested offset on, or they are a snapshot: the newest
-// record of each key, in which keys that were removed are missing.
+// record of each key, in which keys that were deleted are missing.
 // AgeMs is how long ago the platform last confirmed that the sender's records are the
 // newest. Packed, unless it is empty, replaces Records: it is a StreamRecords, compressed
 // by DEFLATE.
 //
-// A reply may redirect the requester to the address of another instance that has the
-// records, since the sender's link has no capacity left. LastArrivalMs is how long ago the
-// sender last received a part of a reply that is still being transferred to it or to its
-// upstream instance: while that is short, the sender is about to have newer records.
+// RedirectTo, unless it is empty, is the address of another instance that has the records:
+// the sender's link has no capacity left for them, and Records is empty. LastArrivalMs is
+// how long ago the sender last received a part of a reply that is still being transferred
+// to it or to its upstream instance: while that is short, the sender is about to have newer
+// records.
 type StreamReply struct {
 	Next     int64
 	Snapshot bool
@@ -315,7 +316,7 @@
 	Records []StreamRecord
 }
 
-// StreamRecord is one record. An empty value means that its key was removed. When Packed
+// StreamRecord is one record. An empty value means that its key was deleted. When Packed
 // is set the value is compressed by DEFLATE.
 type StreamRecord struct {
 	Key    string
