--- a/internal/admitter/admitter.go
+++ b/internal/admitter/admitter.go
@@ -3,8 +3,9 @@
 //
 // Targets serve the calls of one priority in the order of arrival. Under overload each call
 // queues behind all earlier ones, so that soon every answer begins late, although the
-// targets could have begun most of them in time. The admitter therefore adjusts, for each
-// lane, the share of calls that is admitted to the share that can begin in time.
+// targets could have begun most of them in time. In each lane, the admitter
+// therefore admits only as large a share of the calls as can begin in time; these are sent
+// ahead of the others.
 package admitter
 
 import (
--- a/internal/aggregator/replay_test.go
+++ b/internal/aggregator/replay_test.go
@@ -118,7 +118,7 @@
 		r.overLimit++
 	}
 
-	r.selectors[n].ReportLoad(now, x.target, selector.LoadReport{Running: r.inProgress[x.target.ID], Slots: x.target.Slots})
+	r.selectors[n].ReportLoad(now, x.target, selector.Load{Running: r.inProgress[x.target.ID], Slots: x.target.Slots})
 }
 
 func (r *replay) choose(now time.Time, n int, key uint64, id aggregator.ID) *discoverer.Target {
--- a/internal/forwarder/admit.go
+++ b/internal/forwarder/admit.go
@@ -17,7 +17,7 @@
 	abandonFactor = 4
 	// minLaneLoad is the load per slot of a group below which calls are not divided into lanes. No
 	// target has more than twice the mean load, so below this value no call waits at any target,
-	// and a late answer has another cause, such as a prompt that is read for the first time.
+	// and a late answer has another cause, such as a prompt that is processed for the first time.
 	minLaneLoad = 0.5
 	// saturatedLoad is the load per slot of a group from which calls wait at the average target.
 	// Below this value no call is refused.
--- a/internal/forwarder/admit_test.go
+++ b/internal/forwarder/admit_test.go
@@ -56,7 +56,7 @@
 			}
 
 			send(x.waiting)
-			time.Sleep(600 * time.Millisecond) // Longer than abandonFactor times the latency objective.
+			time.Sleep(600 * time.Millisecond) // Now all are overdue: this exceeds abandonFactor times the latency objective.
 			send(10)
 			close(release)
 			w.Wait()
--- a/internal/forwarder/attempt.go
+++ b/internal/forwarder/attempt.go
@@ -157,8 +157,8 @@
 	}
 }
 
-// impliesNotRun reports whether callers conclude from a status that the call was not run. A target's
-// answer with such a status is not relayed unless the target stated that it did not run the call:
+// impliesNotRun reports whether callers conclude from a status that the call was not run. An answer
+// with such a status, from a target that did not state that it did not run the call, is not relayed:
 // the call may have run, and the caller would conclude that it did not.
 func impliesNotRun(status int) bool {
 	switch status {
@@ -285,8 +285,8 @@
 	return a, p, result{}
 }
 
-// recordPromptRead records that a target has processed the call's prompt and now caches it.
-func (f *Forwarder) recordPromptRead(t selector.Choice) {
+// confirmPlacements records that a target has processed the call's prompt and now caches it.
+func (f *Forwarder) confirmPlacements(t selector.Choice) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 
--- a/internal/forwarder/buffered.go
+++ b/internal/forwarder/buffered.go
@@ -21,8 +21,8 @@
 	// answer. Well over nine in ten answers arrive earlier.
 	answerWaitFactor = 0.6
 	// streamWaitFactor is the multiple of the latency objective that a call waits for the first
-	// event of a stream. It is greater than answerWaitFactor because an engine that reads long
-	// prompts is slow meanwhile, and a second engine would have to read the prompt again.
+	// event of a stream. It is greater than answerWaitFactor because an engine that processes
+	// long prompts is slow meanwhile, and a second engine would have to process the prompt again.
 	streamWaitFactor = 1.5
 )
 
@@ -78,7 +78,7 @@
 	}
 
 	if a.StatusCode < http.StatusMultipleChoices && !p.Sealed {
-		return result{err: errors.Mark(errors.New("answer has no seal"), errBroken), outcome: selector.Failed}
+		return result{err: errors.Mark(errors.New("answer has no seal, the proof that a target made it"), errBroken), outcome: selector.Failed}
 	}
 
 	f.recordFirstPart(x, t)
--- a/internal/forwarder/exchange.go
+++ b/internal/forwarder/exchange.go
@@ -121,7 +121,7 @@
 
 func (x *exchange) query(s Settings) selector.Query {
 	q := selector.Query{
-		Prefixes: x.sharedPrefixes, DataCentre: s.DataCentre, Excluded: x.tried, Draw: hasher.Key(x.call.ID),
+		Prefixes: x.sharedPrefixes, DataCentre: s.DataCentre, Tried: x.tried, Draw: hasher.Key(x.call.ID),
 		Customer: hasher.Key(x.customer), Centres: x.allowedCentres(s.Regions),
 	}
 
--- a/internal/forwarder/reservation.go
+++ b/internal/forwarder/reservation.go
@@ -12,8 +12,8 @@
 )
 
 // maxCountDrift is by how many calls the load that a target reports may exceed its home node's
-// count before this is reported to the home node. The count changes by
-// about that many while a call begins.
+// count before the load is reported to the home node. The count changes by about that many while a
+// call begins.
 const maxCountDrift = 2
 
 // SlotReserver reserves slots for calls at targets. The home node of a target, the one instance
@@ -34,7 +34,7 @@
 type reservation struct {
 	verdict aggregator.Verdict
 	release reserver.Release
-	// latency is the time until the answer began, as a multiple of the latency objective; zero until
+	// latency is the time until the answer began, as a fraction of the latency objective; zero until
 	// it has begun.
 	latency float64
 }
@@ -173,7 +173,7 @@
 // that counts too few calls.
 func (f *Forwarder) reportLoad(x *exchange, t *discoverer.Target, p Reply) {
 	f.mu.Lock()
-	f.selector.ReportLoad(time.Now(), t, selector.LoadReport{Running: p.Running, Waiting: p.Waiting, Slots: p.Slots})
+	f.selector.ReportLoad(time.Now(), t, selector.Load{Running: p.Running, Waiting: p.Waiting, Slots: p.Slots})
 	f.mu.Unlock()
 
 	if n := p.Running + p.Waiting; x.reservation.verdict.Outcome == aggregator.Granted && n > x.reservation.verdict.Calls+maxCountDrift {
--- a/internal/forwarder/stream.go
+++ b/internal/forwarder/stream.go
@@ -54,7 +54,7 @@
 		}
 
 		if first {
-			f.recordPromptRead(t)
+			f.confirmPlacements(t)
 		}
 
 		if !x.relayed {
@@ -82,7 +82,7 @@
 func (f *Forwarder) readFailure(a *http.Response) result {
 	b, err := io.ReadAll(io.LimitReader(a.Body, maxAnswerBytes))
 	if err != nil || a.StatusCode < http.StatusMultipleChoices {
-		return result{err: errors.Mark(errors.Newf("answer with status %d has no seal or is incomplete", a.StatusCode), errBroken), outcome: selector.Failed}
+		return result{err: errors.Mark(errors.Newf("answer with status %d is incomplete or has no seal, the proof that a target made it", a.StatusCode), errBroken), outcome: selector.Failed}
 	}
 
 	return result{
@@ -120,8 +120,9 @@
 	return pauseFactor * x.rule.MaxEventGap
 }
 
-// isNextEvent reports whether the event with an ID may follow the event with the ID last. A target that resumes a stream may start
-// too early or too late; relaying that would duplicate or lose a part of the answer.
+// isNextEvent reports whether the event with an ID may follow the event with the ID last. A target
+// that resumes a stream may start too early or too late; relaying that would duplicate or lose a
+// part of the answer.
 func isNextEvent(last, id string) bool {
 	a, err := strconv.ParseUint(last, 10, 64)
 	if err != nil {
--- a/internal/reserver/reserver.go
+++ b/internal/reserver/reserver.go
@@ -35,7 +35,7 @@
 	// times the number of instances, which is less than the duration of a call.
 	minInstances = 16
 	// reserveTimeout bounds a request to a home. Within a region a reply takes one or two
-	// milliseconds, and a call should begin within about a hundred.
+	// milliseconds, and a call should begin within a few hundred.
 	reserveTimeout = 30 * time.Millisecond
 	// homeBackoff is how long a home that did not reply gets no further requests. Meanwhile its targets
 	// are chosen by local information, as without a home.
@@ -207,8 +207,8 @@
 // wait for the time-out.
 func (r *Reserver) request(c context.Context, h gossiper.Member, q aggregator.Request) aggregator.Verdict {
 	type reply struct {
-		slot wire.ReserveReply
-		err  error
+		message wire.ReserveReply
+		err     error
 	}
 
 	x, stop := context.WithTimeout(c, reserveTimeout)
@@ -226,7 +226,7 @@
 	go func() {
 		var o reply
 
-		o.err = r.messenger.Call(x, h.Address, wire.KindReserve, &w, &o.slot)
+		o.err = r.messenger.Call(x, h.Address, wire.KindReserve, &w, &o.message)
 		l <- o
 	}()
 
@@ -245,7 +245,7 @@
 
 		return aggregator.Verdict{}
 	default:
-		return aggregator.Verdict{Outcome: aggregator.Outcome(o.slot.Outcome), Calls: int(o.slot.Calls), Latency: fraction(o.slot.Latency)}
+		return aggregator.Verdict{Outcome: aggregator.Outcome(o.message.Outcome), Calls: int(o.message.Calls), Latency: fraction(o.message.Latency)}
 	}
 }
 
--- a/internal/searcher/replay_test.go
+++ b/internal/searcher/replay_test.go
@@ -198,8 +198,8 @@
 	}{
 		"below capacity":     {700, 0.95, -0.01},
 		"near capacity":      {880, 0.85, 0.03},
-		"above capacity":     {960, 0.75, 0.1},
-		"far above capacity": {1100, 0.6, 0.1},
+		"7% above capacity":  {960, 0.75, 0.1},
+		"22% above capacity": {1100, 0.6, 0.1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			i := is.New(t)
--- a/internal/selector/backoff.go
+++ b/internal/selector/backoff.go
@@ -33,7 +33,7 @@
 // GroupBackoff reports whether all targets of a group that the call may be sent to are in a backoff, including
 // those that the call was already sent to. The first result is the time until the first of them accepts calls.
 func (s *Selector) GroupBackoff(now time.Time, r *discoverer.Registry, group string, q Query) (time.Duration, bool) {
-	q.Excluded = nil
+	q.Tried = nil
 	all := s.candidates(now, r, r.Groups[group], &q)
 	l, first := s.withoutBackoff(now, all)
 
--- a/internal/selector/backoff_replay_test.go
+++ b/internal/selector/backoff_replay_test.go
@@ -68,7 +68,7 @@
 		c.StartBackoff(now, x.Target, backoff)
 		c.Finish(now, x.Target, selector.Shed)
 
-		q.Excluded = append(q.Excluded, x.Target.ID)
+		q.Tried = append(q.Tried, x.Target.ID)
 	}
 }
 
--- a/internal/selector/call.go
+++ b/internal/selector/call.go
@@ -20,11 +20,11 @@
 // call was not sent; the placements recorded for it are removed.
 func (s *Selector) Decline(now time.Time, x Choice, calls int) {
 	s.revert(now, x)
-	s.ReportLoad(now, x.Target, LoadReport{Running: calls, Slots: x.Target.Slots})
+	s.ReportLoad(now, x.Target, Load{Running: calls, Slots: x.Target.Slots})
 }
 
-// DeclineUnhealthy reverts a choice whose target was reported as unhealthy by its home instance (as in home node),
-// which sees the calls of all instances. The target is excluded for reportedExclusion.
+// DeclineUnhealthy reverts a choice whose target was reported as unhealthy by its home (home node), which sees the
+// calls of all instances. The target is excluded for reportedExclusion.
 func (s *Selector) DeclineUnhealthy(now time.Time, x Choice) {
 	s.revert(now, x)
 	s.health.recordUnhealthyReport(now, x.Target)
@@ -51,7 +51,7 @@
 }
 
 // ReportLoad records the load that a target reported. Reports without slots are ignored.
-func (s *Selector) ReportLoad(now time.Time, t *discoverer.Target, r LoadReport) {
+func (s *Selector) ReportLoad(now time.Time, t *discoverer.Target, r Load) {
 	if r.Slots == 0 {
 		return
 	}
@@ -83,7 +83,7 @@
 	}
 }
 
-// ReportLatency applies the latency of a target that the target's home instance measured over the calls of all
+// ReportLatency applies the latency of a target that the target's home measured over the calls of all
 // instances, as a fraction of the latency objective.
 func (s *Selector) ReportLatency(t *discoverer.Target, fraction float64) {
 	if s.process(t).isCurrent(t) {
--- a/internal/selector/candidate.go
+++ b/internal/selector/candidate.go
@@ -24,7 +24,7 @@
 	o := make([]candidate, 0, len(l))
 
 	for _, t := range l {
-		if !q.allows(t) || slices.Contains(q.Excluded, t.ID) {
+		if !q.allows(t) || slices.Contains(q.Tried, t.ID) {
 			continue
 		}
 
@@ -199,10 +199,10 @@
 	return r
 }
 
-// pickLeastLoaded returns the candidate with the least load per slot. Candidates outside the given data centre
-// count with penalty added to their load. Ties are broken by draw, a number derived from the call: if the first of
-// several equally loaded candidates were always selected, the last one would receive no calls while the others have
-// free slots.
+// pickLeastLoaded returns the candidate with the least load per slot. The penalty is added to the load per slot of
+// candidates outside the given data centre, so that one inside is preferred until its load per slot exceeds that of
+// the others by more than the penalty. Ties are broken by draw, a number derived from the call: if the first of several
+// equally loaded candidates were always selected, the last one would receive no calls while the others have free slots.
 func pickLeastLoaded(l []candidate, centre string, penalty float64, draw uint64) candidate {
 	var o candidate
 
--- a/internal/selector/cold.go
+++ b/internal/selector/cold.go
@@ -44,7 +44,7 @@
 }
 
 // recordSent counts a call to a target that is cold or recovers from a backoff. At a cold target the call
-// counts even if the home instance of the target declines it afterwards.
+// counts even if the home of the target declines it afterwards.
 func (s *Selector) recordSent(now time.Time, x candidate) {
 	if x.cold {
 		s.throttler.RecordSent(now, x.target.Key())
--- a/internal/selector/cold_replay_test.go
+++ b/internal/selector/cold_replay_test.go
@@ -133,7 +133,7 @@
 
 		from := l[x.IntN(len(l))]
 		for id, t := range r.Known {
-			from.selector.ReportLoad(now, t, selector.LoadReport{Running: running[id], Slots: t.Slots})
+			from.selector.ReportLoad(now, t, selector.Load{Running: running[id], Slots: t.Slots})
 		}
 
 		q := query(k)
@@ -185,7 +185,7 @@
 }
 
 // Guards against an infinite bound, computed as a mean over no targets, when a group has cold targets and none of
-// its targets is reachable: calls would request slots from home instances without end.
+// its targets is reachable: calls would request slots from homes without end.
 func TestBoundWithoutReachableTargets(t *testing.T) {
 	i := is.New(t)
 	now := time.Unix(1000, 0)
--- a/internal/selector/decline_test.go
+++ b/internal/selector/decline_test.go
@@ -32,7 +32,7 @@
 
 	// The result is the same as if the target had never been selected and were known to be full.
 	d := selector.New(selector.DefaultSettings())
-	d.ReportLoad(now, x.Target, selector.LoadReport{Running: 12, Slots: x.Target.Slots})
+	d.ReportLoad(now, x.Target, selector.Load{Running: 12, Slots: x.Target.Slots})
 	i.Equal(choose(d, now, r, query(1)), y)
 
 	// A target that had the prompt cached before remains a holder.
@@ -60,18 +60,18 @@
 	s.Finish(now, x.Target, selector.Answered)
 
 	q := query(1)
-	q.Excluded = []string{x.Target.ID}
+	q.Tried = []string{x.Target.ID}
 	y := choose(s, now, r, q)
 	i.Equal(y.FetchFrom, x.Target)
 	s.Finish(now, y.Target, selector.Failed)
 	s.RevertPlacements(y)
 
-	q.Excluded = []string{x.Target.ID, y.Target.ID}
+	q.Tried = []string{x.Target.ID, y.Target.ID}
 	z := choose(s, now, r, q)
 	i.Equal(z.FetchFrom, x.Target)
 
 	// A target that had the prompt cached before remains a holder.
-	q.Excluded = []string{y.Target.ID, z.Target.ID}
+	q.Tried = []string{y.Target.ID, z.Target.ID}
 	x = choose(s, now, r, q)
 	i.True(x.Cached)
 	s.Finish(now, x.Target, selector.Failed)
--- a/internal/selector/departure_test.go
+++ b/internal/selector/departure_test.go
@@ -46,7 +46,7 @@
 			s.ApplyRegistry(now, d.Registry())
 
 			o := choose(s, now, d.Registry(), query(7))
-			s.ReportLoad(now, o.Target, selector.LoadReport{Running: 1, Slots: 8})
+			s.ReportLoad(now, o.Target, selector.Load{Running: 1, Slots: 8})
 
 			if x.failed {
 				s.Finish(now, o.Target, selector.Unreachable)
--- a/internal/selector/health.go
+++ b/internal/selector/health.go
@@ -15,8 +15,8 @@
 	// goneExclusion is how long a target is excluded whose address belongs to another process. It exceeds the
 	// time until the entry expires in the registry: three heartbeats of about a second.
 	goneExclusion = 10 * time.Second
-	// reportedExclusion is how long a target is excluded after its home instance reported it as unhealthy. The next
-	// call to the target after that requests a slot from the home instance again.
+	// reportedExclusion is how long a target is excluded after its home reported it as unhealthy. The next
+	// call to the target after that requests a slot from the home again.
 	reportedExclusion = 300 * time.Millisecond
 	// lastResortInterval is the interval at which a call is tried at a group without reachable targets. It bounds
 	// how late the end of a network partition is noticed.
@@ -33,7 +33,7 @@
 	// gone tracks targets whose address belongs to another process.
 	gone      *ejector.Ejector[discoverer.Key]
 	latencies *evaluator.Evaluator[discoverer.Key]
-	// reportedAt is when a target was last reported as unhealthy by its home instance.
+	// reportedAt is when a target was last reported as unhealthy by its home.
 	reportedAt map[discoverer.Key]time.Time
 	// lastResorts is when a call was last tried at a group without reachable targets, by group.
 	lastResorts map[string]time.Time
@@ -89,14 +89,14 @@
 	return filter(l, func(x candidate) bool { return h.isReachable(now, x.target) && !h.gone.Excluded(now, x.target.Key()) })
 }
 
-// reportedUnhealthy reports whether the home instance recently reported a target as unhealthy.
+// reportedUnhealthy reports whether the home recently reported a target as unhealthy.
 func (h *health) reportedUnhealthy(now time.Time, t *discoverer.Target) bool {
 	s, ok := h.reportedAt[t.Key()]
 
 	return ok && now.Sub(s) < reportedExclusion
 }
 
-// recordUnhealthyReport records that the home instance considers a target unhealthy.
+// recordUnhealthyReport records that the home considers a target unhealthy.
 func (h *health) recordUnhealthyReport(now time.Time, t *discoverer.Target) {
 	h.reportedAt[t.Key()] = now
 }
@@ -158,7 +158,7 @@
 	return l
 }
 
-// healthy reports whether a target is reachable and does not fail.
+// healthy reports whether a target is reachable, does not fail and has not been replaced at its address.
 func (h *health) healthy(now time.Time, t *discoverer.Target) bool {
 	n := t.Key()
 
--- a/internal/selector/order_test.go
+++ b/internal/selector/order_test.go
@@ -66,7 +66,7 @@
 				for i := range 12 {
 					id := fmt.Sprintf("t%d", i)
 					loads[id] = x.IntN(6)
-					c.ReportLoad(now, r.Known[id], selector.LoadReport{Running: loads[id], Slots: 64})
+					c.ReportLoad(now, r.Known[id], selector.Load{Running: loads[id], Slots: 64})
 				}
 
 				for range x.IntN(4) {
--- a/internal/selector/process_test.go
+++ b/internal/selector/process_test.go
@@ -114,11 +114,11 @@
 			}
 		},
 		"own load report": func(s *selector.Selector, now time.Time, _ *discoverer.Registry, t *discoverer.Target) {
-			s.ReportLoad(now, t, selector.LoadReport{Running: 40, Slots: 64})
+			s.ReportLoad(now, t, selector.Load{Running: 40, Slots: 64})
 		},
 		"prompts": func(s *selector.Selector, now time.Time, r *discoverer.Registry, t *discoverer.Target) {
 			for n := range uint64(60) {
-				s.Choose(now, r, group, selector.Query{Prefixes: query(n).Prefixes, Excluded: otherIDs(r, t)})
+				s.Choose(now, r, group, selector.Query{Prefixes: query(n).Prefixes, Tried: otherIDs(r, t)})
 			}
 		},
 		"load report from a peer": func(s *selector.Selector, now time.Time, r *discoverer.Registry, t *discoverer.Target) {
@@ -256,7 +256,7 @@
 			for range 3 {
 				s.Start(now, old)
 				s.ObserveLatency(now, old, 3)
-				s.ReportLoad(now, old, selector.LoadReport{Running: 40, Slots: 64})
+				s.ReportLoad(now, old, selector.Load{Running: 40, Slots: 64})
 				s.Finish(now, old, o)
 			}
 
@@ -434,7 +434,7 @@
 			is.Equal(s.TargetStates(now, r)[1], f.TargetStates(now, r)[1])
 
 			for n := range uint64(60) {
-				q := selector.Query{Prefixes: query(n).Prefixes, Excluded: []string{a}}
+				q := selector.Query{Prefixes: query(n).Prefixes, Tried: []string{a}}
 				x, _ := s.Choose(now, r, group, q)
 				y, _ := f.Choose(now, r, group, q)
 				is.Equal(x.Cached, y.Cached)
--- a/internal/selector/selector.go
+++ b/internal/selector/selector.go
@@ -27,15 +27,15 @@
 
 // DefaultSettings returns the settings of a gateway.
 func DefaultSettings() Settings {
-	return Settings{Factor: factorMargin * defaultMaxFactor, Slack: 3, RemotePenalty: 0.5}
+	return Settings{Factor: fillFraction * defaultMaxFactor, Slack: 3, RemotePenalty: 0.5}
 }
 
 const (
 	// defaultMaxFactor is the multiple of the mean load that a target may have if none is configured.
 	defaultMaxFactor = 2
-	// factorMargin is the fraction of the permitted multiple up to which targets are filled. It leaves a
+	// fillFraction is the fraction of the permitted multiple up to which targets are filled. It leaves a
 	// margin because load reports are slightly out of date.
-	factorMargin = 0.85
+	fillFraction = 0.85
 	// minFactor is the smallest multiple of the mean load to which targets are filled. Without headroom above the
 	// mean, calls would be declined by one target after another.
 	minFactor = 1.1
@@ -45,7 +45,7 @@
 // settings unchanged.
 func (s Settings) WithMaxFactor(factor float64) Settings {
 	if factor > 0 {
-		s.Factor = max(factorMargin*factor, minFactor)
+		s.Factor = max(fillFraction*factor, minFactor)
 	}
 
 	return s
@@ -64,8 +64,8 @@
 	Prefixes []Prefix
 	// DataCentre is the data centre of this instance.
 	DataCentre string
-	// Excluded are the IDs of the targets that the call was already sent to.
-	Excluded []string
+	// Tried are the IDs of the targets at which the call was already tried.
+	Tried []string
 	// Declined is how many targets were found full since the call was last sent to one.
 	Declined int
 	// Draw is a number derived from the call. It spreads calls over targets that are equally suitable.
@@ -121,8 +121,8 @@
 	fresh    []uint64
 }
 
-// LoadReport is the load that a target reported with its answer to a call.
-type LoadReport struct {
+// Load is the load that a target reported with its answer to a call.
+type Load struct {
 	// Running and Waiting count the calls of all instances. Slots is zero if the target does not report its
 	// number of slots.
 	Running, Waiting, Slots int
@@ -159,8 +159,8 @@
 	return o
 }
 
-// ConfigureThrottling sets the bound on the calls to cold targets and the source of the state of all instances. It resets the
-// counts of calls to cold targets.
+// ConfigureThrottling sets the bound on the calls to cold targets and the source of the state of all instances. It
+// resets the counts of calls to cold targets.
 func (s *Selector) ConfigureThrottling(t throttler.Settings, fleet func() throttler.Fleet) {
 	s.throttler, s.fleet = throttler.New(t), fleet
 }
--- a/internal/selector/selector_test.go
+++ b/internal/selector/selector_test.go
@@ -200,7 +200,7 @@
 			}
 
 			dials++
-			q.Excluded = append(q.Excluded, o.Target.ID)
+			q.Tried = append(q.Tried, o.Target.ID)
 			s.Start(now, o.Target)
 
 			if reached {
@@ -314,7 +314,7 @@
 			r := registry(2, "a")
 			s := selector.New(selector.DefaultSettings())
 			q := query(9)
-			q.Excluded = []string{"t0"} // The call is sent to the other target in any case.
+			q.Tried = []string{"t0"} // The call is sent to the other target in any case.
 
 			if x.holder != "" {
 				s.ApplyUpdate(now.Add(x.age), r, selector.Update{Placements: []selector.Placement{{Key: 9, Target: discoverer.Process{ID: x.holder}.Key().Name()}}})
@@ -395,7 +395,7 @@
 			s := selector.New(selector.DefaultSettings())
 
 			if x.full {
-				s.ReportLoad(now, first, selector.LoadReport{Running: 60, Slots: 64})
+				s.ReportLoad(now, first, selector.Load{Running: 60, Slots: 64})
 			}
 
 			if x.unreachable {
@@ -437,7 +437,7 @@
 	s := selector.New(selector.DefaultSettings())
 
 	o := choose(s, now, r, query(5))
-	s.ReportLoad(now, o.Target, selector.LoadReport{Running: 40, Slots: 64})
+	s.ReportLoad(now, o.Target, selector.Load{Running: 40, Slots: 64})
 
 	p := choose(s, now, r, query(5))
 	is.True(p.Target.ID != o.Target.ID)
@@ -504,7 +504,7 @@
 	is.True(p.Target.ID != o.Target.ID)
 
 	// An older report does not replace a newer one.
-	s.ReportLoad(now, o.Target, selector.LoadReport{Running: 1, Slots: 64})
+	s.ReportLoad(now, o.Target, selector.Load{Running: 1, Slots: 64})
 	s.ApplyUpdate(now, r, selector.Update{Loads: []selector.TargetLoad{{Target: o.Target.Key().Name(), Calls: 40, At: now.Add(-time.Second)}}})
 	is.Equal(s.PendingUpdate().Loads, []selector.TargetLoad{{Target: o.Target.Key().Name(), Calls: 1, At: now}})
 
