--- a/internal/gatekeeper/invalid_record_reporter.go
+++ b/internal/gatekeeper/invalid_record_reporter.go
@@ -23,7 +23,7 @@
 
 // counter counts invalid records.
 type counter interface {
-	UnusableRecord(stream, reason string)
+	InvalidRecord(stream, reason string)
 }
 
 // invalidRecordReporter counts the invalid records of a stream and logs them at a limited rate. It is
@@ -41,7 +41,7 @@
 // report counts an invalid record, and logs it with the fields f if the rate permits.
 func (r *invalidRecordReporter) report(err error, f logrus.Fields) {
 	x, field := classify(err)
-	r.counter.UnusableRecord(r.stream, string(x))
+	r.counter.InvalidRecord(r.stream, string(x))
 
 	if !r.allowLine() {
 		r.suppressed++
--- a/internal/gatekeeper/target_handler_test.go
+++ b/internal/gatekeeper/target_handler_test.go
@@ -20,7 +20,7 @@
 // counts is a counter for the tests.
 type counts map[string]int
 
-func (c counts) UnusableRecord(stream, reason string) { c[stream+" "+reason]++ }
+func (c counts) InvalidRecord(stream, reason string) { c[stream+" "+reason]++ }
 
 // newTestTargetHandler returns a targetHandler whose records contain the name of a group, prefixed
 // with a minus when the target is draining; values that begin with "bad" are invalid.
--- a/internal/meter/meter.go
+++ b/internal/meter/meter.go
@@ -83,9 +83,9 @@
 	m.set.GetOrCreateCounter(`auburntray_reads_total{stream="` + stream + `",source="` + source + `",result="` + r + `"}`).Inc()
 }
 
-// UnusableRecord records an invalid record of a stream with its reason. Reasons become values of a label, so
+// InvalidRecord records an invalid record of a stream with its reason. Reasons become values of a label, so
 // there may be only a few different ones.
-func (m *Meter) UnusableRecord(stream, reason string) {
+func (m *Meter) InvalidRecord(stream, reason string) {
 	m.set.GetOrCreateCounter(`auburntray_records_refused_total{stream="` + stream + `",reason="` + reason + `"}`).Inc()
 }
 
--- a/internal/meter/meter_test.go
+++ b/internal/meter/meter_test.go
@@ -21,7 +21,7 @@
 	m.Attempt("g", "bad")
 	m.Refusal("noTarget")
 	m.Read("config", "platform", false)
-	m.UnusableRecord("targets", "wrongType")
+	m.InvalidRecord("targets", "wrongType")
 	m.HealthChange("targetFailing", true)
 	m.HealthChange("targetFailing", false)
 	m.RegisterGauge("targets", func() float64 { return 2 })
